--- a/Source/Agreement/wgElection.cxx
+++ b/Source/Agreement/wgElection.cxx
@@ -100,7 +100,7 @@
   const bool mayVote = now >= r.noVoteBefore && r.role != ReplicaRole::Leader;
   if (!mayVote) {
     if (isPreVote) {
-      r.waitingPreVote = m;
+      r.deferredPreVote = m;
     }
     return;
   }
@@ -126,13 +126,13 @@
   Send(r, std::move(reply));
 }
 
-void AnswerWaitingPreVote(Replica& r, Elapsed now, absl::BitGenRef random)
+void AnswerDeferredPreVote(Replica& r, Elapsed now, absl::BitGenRef random)
 {
-  if (!r.waitingPreVote || now < r.noVoteBefore) {
+  if (!r.deferredPreVote || now < r.noVoteBefore) {
     return;
   }
-  const wire::AgreementMessage message = *std::move(r.waitingPreVote);
-  r.waitingPreVote.reset();
+  const wire::AgreementMessage message = *std::move(r.deferredPreVote);
+  r.deferredPreVote.reset();
   if (r.role != ReplicaRole::Leader) {
     OnVoteRequest(r, message, now, random);
   }
--- a/Source/Agreement/wgElection.h
+++ b/Source/Agreement/wgElection.h
@@ -17,7 +17,7 @@
  * it may: who asked would wait for its next election time otherwise. To it
  * this is a message that was long on its way.
  */
-void AnswerWaitingPreVote(Replica& r, Elapsed now, absl::BitGenRef random);
+void AnswerDeferredPreVote(Replica& r, Elapsed now, absl::BitGenRef random);
 
 void OnVoteReply(Replica& r, const wire::AgreementMessage& m, Elapsed now);
 
--- a/Source/Agreement/wgRepair.cxx
+++ b/Source/Agreement/wgRepair.cxx
@@ -15,7 +15,7 @@
   }
   auto found = leader.peers.find(id);
   return found != leader.peers.end() &&
-         now - found->second.acknowledgedSend < leader.timing.maxElection;
+         now - found->second.ackedSendTime < leader.timing.maxElection;
 }
 
 bool IsCaughtUp(const Replica& leader, std::uint64_t id, Elapsed now)
@@ -83,7 +83,7 @@
       continue;
     }
     const Elapsed heard =
-      std::max(peer->second.acknowledgedSend, peer->second.trackedSince);
+      std::max(peer->second.ackedSendTime, peer->second.trackedSince);
     if (heard <= earliest) {
       earliest = heard;
       silent = &replica;
--- a/Source/Agreement/wgReplica.cxx
+++ b/Source/Agreement/wgReplica.cxx
@@ -14,7 +14,7 @@
 
 namespace {
 
-/** How many voters are in one set and not in the other. */
+/** Returns the number of voters that are in exactly one of the sets. */
 int CountDifferentVoters(const wire::VoterSet& a, const wire::VoterSet& b)
 {
   int different = 0;
@@ -35,17 +35,19 @@
     [id](const wire::Voter& voter) { return voter.id() == id; });
 }
 
-/** Most of what commits is followed by nothing that must be written. */
-void KeepCommit(Replica& r, Elapsed now)
+/** Saves an advanced commit index after a delay if no other write saves it
+ * first: most commits are followed by no further write.
+ */
+void SaveCommitWhenDue(Replica& r, Elapsed now)
 {
   if (r.commit <= r.hard.commit()) {
-    r.commitKeepDue = absl::InfiniteDuration();
+    r.commitSaveDue = absl::InfiniteDuration();
     return;
   }
-  if (r.commitKeepDue == absl::InfiniteDuration()) {
-    r.commitKeepDue = now + r.timing.keepCommitAfter;
+  if (r.commitSaveDue == absl::InfiniteDuration()) {
+    r.commitSaveDue = now + r.timing.commitSaveDelay;
   }
-  r.actions.saveHardState |= now >= r.commitKeepDue;
+  r.actions.saveHardState |= now >= r.commitSaveDue;
 }
 
 } // namespace
@@ -64,15 +66,17 @@
 {
   r.role = ReplicaRole::Follower;
   r.leader = 0;
-  // Without what was known to be committed, nothing after the snapshot is
-  // applied until a leader stands: 0.3 s after all boxes had lost power.
+  // Without the saved commit index, no entry after the snapshot could be
+  // applied until a leader is elected, which took 0.3 s after a power loss of
+  // all boxes.
   r.commit =
     std::max(r.snapshot.index(), std::min(r.hard.commit(), r.log.LastIndex()));
   r.applied = r.snapshot.index();
   r.synced = r.log.LastIndex();
   RecomputeVoters(r);
   ResetElectionTimer(r, now, random);
-  // A leader heard before the restart may count on this replica's silence.
+  // A leader from before the restart may hold a lease that relies on this
+  // replica not voting for another candidate.
   r.noVoteBefore = now + r.timing.minElection;
 }
 
@@ -80,7 +84,7 @@
 {
   std::uint64_t bytes = 0;
   for (const auto& [id, peer] : r.peers) {
-    bytes += peer.sentAgain;
+    bytes += peer.retransmittedBytes;
   }
   return bytes;
 }
@@ -101,8 +105,8 @@
 
 void OnTick(Replica& r, Elapsed now, absl::BitGenRef random)
 {
-  AnswerWaitingPreVote(r, now, random);
-  KeepCommit(r, now);
+  AnswerDeferredPreVote(r, now, random);
+  SaveCommitWhenDue(r, now);
   if (r.role == ReplicaRole::Leader) {
     TickLeader(r, now, random);
   } else if (now >= r.electionDue) {
@@ -121,8 +125,10 @@
     return;
   }
   const bool isPreVoteReply = m.kind() == Kind::PRE_VOTE_REPLY;
-  const bool isGrantAhead = isPreVoteReply && m.granted();
-  if (m.term() > r.hard.term() && !isGrantAhead) {
+  const bool isPreVoteGrant = isPreVoteReply && m.granted();
+  // A granted pre-vote reply carries the term of an election that has not
+  // started, so it must not advance the current term.
+  if (m.term() > r.hard.term() && !isPreVoteGrant) {
     BecomeFollower(r, m.term(), 0);
   }
   if (m.kind() == Kind::PRE_VOTE_REPLY || m.kind() == Kind::VOTE_REPLY) {
@@ -134,7 +140,7 @@
     return;
   }
   if (m.term() < r.hard.term()) {
-    ReplyAppend(r, m, false, 0); // tells an old leader the new term
+    ReplyAppend(r, m, false, 0); // informs a stale leader of the new term
     return;
   }
   if (m.kind() == Kind::APPEND) {
@@ -167,7 +173,7 @@
   entry.set_kind(wire::LogEntry::CHANGE);
   entry.set_change(std::move(change));
   const std::uint64_t index = AppendOwn(r, std::move(entry));
-  r.heartbeatDue = now; // the next tick sends all that has gathered
+  r.heartbeatDue = now; // the next tick sends all pending entries at once
   return index;
 }
 
@@ -228,7 +234,7 @@
       r.log.TermAt(r.commit) != r.hard.term()) {
     return -absl::InfiniteDuration();
   }
-  return QuorumAcknowledgedSend(r, now) +
+  return QuorumAckedSendTime(r, now) +
          r.timing.minElection * r.timing.leaseShare;
 }
 
@@ -239,14 +245,14 @@
 
 ReplicaActions TakeActions(Replica& r)
 {
-  ReplicaActions taken = std::move(r.actions);
+  ReplicaActions actions = std::move(r.actions);
   r.actions = {};
-  const bool keepsCommit = taken.NeedsSync() && r.commit > r.hard.commit();
-  if (keepsCommit) {
+  const bool savesCommit = actions.NeedsSync() && r.commit > r.hard.commit();
+  if (savesCommit) {
     r.hard.set_commit(r.commit);
-    taken.saveHardState = true;
+    actions.saveHardState = true;
   }
-  return taken;
+  return actions;
 }
 
 } // namespace wg
--- a/Source/Agreement/wgReplica.h
+++ b/Source/Agreement/wgReplica.h
@@ -18,18 +18,23 @@
 
 namespace wg {
 
-/** \brief The periods of the agreement; the same on every replica. */
+/** \brief Timing of the consensus protocol. All replicas of a cluster must use
+ * the same values.
+ */
 struct AgreementTiming
 {
   absl::Duration heartbeat = absl::Milliseconds(50);
+  // Each election timeout is drawn uniformly from [minElection, maxElection).
   absl::Duration minElection = absl::Milliseconds(400);
   absl::Duration maxElection = absl::Milliseconds(800);
   int maxEntriesInMessage = 256;
-  /** What is known to be committed is written at the latest after this time.
-   * A change takes some 50 ms, so that it does not wait for this write.
+  /** Longest time for which an advanced commit index stays unsaved. A change
+   * completes in about 50 ms, so it is done before this extra write is due.
+   */
+  absl::Duration commitSaveDelay = absl::Milliseconds(250);
+  /** Duration of a lease as a fraction of minElection. The remainder is the
+   * margin for clock drift.
    */
-  absl::Duration keepCommitAfter = absl::Milliseconds(250);
-  /** Part of minElection that a lease lasts; the rest covers clock drift. */
   double leaseShare = 0.8;
 };
 
@@ -41,32 +46,33 @@
   Leader
 };
 
-/** \brief What a leader knows of one other replica. */
+/** \brief Replication progress of one other replica, kept by the leader. */
 struct PeerProgress
 {
-  std::uint64_t next = 1;
-  std::uint64_t match = 0;
-  Elapsed acknowledgedSend = -absl::InfiniteDuration();
+  std::uint64_t next = 1;  // index of the next entry to send
+  std::uint64_t match = 0; // highest index known to be replicated
+  /** Send time of the newest message that the replica has acknowledged. */
+  Elapsed ackedSendTime = -absl::InfiniteDuration();
   Elapsed trackedSince = -absl::InfiniteDuration();
   InFlight inFlight;
-  std::uint64_t sent = 0;      // the newest entry that was ever sent
-  std::uint64_t sentAgain = 0; // bytes of entries that had been sent before
+  std::uint64_t sent = 0; // highest index sent so far
+  std::uint64_t retransmittedBytes = 0;
 };
 
-/** \brief A message, and whether it must wait for the disk. */
+/** \brief A message to another replica, with its sending constraints. */
 struct OutgoingMessage
 {
   wire::AgreementMessage message;
-  bool afterSync = true;
-  /** How long it may take; a call that ends sooner would never get a large
-   * message over a poor link.
+  bool afterSync = true; // send only after pending writes have been synced
+  /** Minimum timeout of the call that carries the message, so that a large
+   * message can complete over a slow link.
    */
   absl::Duration patience = absl::ZeroDuration();
 };
 
-/** \brief What the caller must do after a step, in this order: install the
- * snapshot, truncate, append, save the hard state, send what need not wait,
- * sync, call OnSynced, send the rest.
+/** \brief Work that the caller must do after a step, in this order: install
+ * the snapshot, truncate the log, append entries, save the hard state, send
+ * messages without `afterSync`, sync, call OnSynced, send the other messages.
  */
 struct ReplicaActions
 {
@@ -82,8 +88,10 @@
   }
 };
 
-/** \brief One replica of the replicated log. Changed only by the functions
- * below; they take time, chance and events and leave what is to be done in
+/** \brief State machine of one replica of the replicated log.
+ *
+ * Only the functions below change it. They do no I/O: the current time, the
+ * random source and events are arguments, and the resulting work is queued in
  * `actions`.
  */
 struct Replica
@@ -92,12 +100,12 @@
   std::string cluster;
   AgreementTiming timing;
 
-  // Durable once synced.
+  // Persistent state, durable once synced.
   wire::HardState hard;
   ReplicaLog log;
   wire::Snapshot snapshot;
 
-  // Volatile.
+  // Volatile state, rebuilt by StartReplica.
   ReplicaRole role = ReplicaRole::Follower;
   std::uint64_t leader = 0;
   std::uint64_t commit = 0;
@@ -105,69 +113,99 @@
   std::uint64_t synced = 0;
   wire::VoterSet voters;
   std::uint64_t votersIndex = 0;
-  Elapsed commitKeepDue = absl::InfiniteDuration();
+  Elapsed commitSaveDue = absl::InfiniteDuration();
   Elapsed electionDue;
   Elapsed heartbeatDue;
-  Elapsed noVoteBefore; // a leader was heard, or a restart was, before it
-  bool knowsMoreThanCandidate = false; // than the last that asked for a vote
-  /** Came before this replica may vote; answered once it may. */
-  std::optional<wire::AgreementMessage> waitingPreVote;
+  /** Votes are refused until this time, minElection after the last contact
+   * with a leader or the last restart.
+   */
+  Elapsed noVoteBefore;
+  /** Whether the candidate of the last vote request had an older log. */
+  bool knowsMoreThanCandidate = false;
+  /** Pre-vote request that came too early; answered from noVoteBefore on. */
+  std::optional<wire::AgreementMessage> deferredPreVote;
   std::set<std::uint64_t> grants;
   std::map<std::uint64_t, PeerProgress> peers;
   ReplicaActions actions;
 };
 
-/** \brief Bytes of entries that this leader has sent more than once. */
+/** \brief Returns the bytes of log entries that this leader has retransmitted
+ * to its current peers.
+ */
 std::uint64_t BytesSentAgain(const Replica& replica);
 
-/** \brief Starts a replica from what its disk holds. */
+/** \brief Initializes the volatile state of a replica whose persistent state
+ * has been loaded.
+ */
 void StartReplica(Replica& replica, Elapsed now, absl::BitGenRef random);
 
-/** \brief Makes this replica the only voter of a new cluster. */
+/** \brief Bootstraps a new cluster with this replica as its only voter. */
 void FoundCluster(Replica& replica, Elapsed now);
 
+/** \brief Runs due timers: elections, heartbeats, the write of the commit
+ * index.
+ */
 void OnTick(Replica& replica, Elapsed now, absl::BitGenRef random);
+
+/** \brief Processes a message; ignores one for another replica or cluster. */
 void OnMessage(Replica& replica, const wire::AgreementMessage& message,
                Elapsed now, absl::BitGenRef random);
 
-/** \brief A message with entries or a snapshot did not reach a replica. */
+/** \brief Handles a failed delivery of entries or of a snapshot.
+ * \param to      the replica that the message was addressed to
+ * \param sentUs  send time that the message carries, in microseconds
+ */
 void OnNotDelivered(Replica& replica, std::uint64_t to, std::int64_t sentUs);
 
-/** \brief All that `actions` asked to be written is on the disk. */
+/** \brief Records that all writes requested through `actions` are durable. */
 void OnSynced(Replica& replica);
 
-/** \brief Appends a change; its index, or nothing when not the leader. */
+/** \brief Appends a change to the log.
+ * \return its index, or nothing if this replica is not the leader
+ */
 std::optional<std::uint64_t> Propose(Replica& replica, std::string change,
                                      Elapsed now);
 
-/** \brief Appends a new voter set that differs in one voter at most; nothing
- * when that is not allowed now.
+/** \brief Appends a voter set that differs from the current one in at most one
+ * voter.
+ * \return its index; nothing if the set is empty or differs in more voters, if
+ * this replica is not a leader that has committed an entry of its term, or if
+ * the previous voter change is uncommitted
  */
 std::optional<std::uint64_t> ProposeVoters(Replica& replica,
                                            const wire::VoterSet& voters,
                                            Elapsed now);
 
-/** \brief The next entry to apply, or null. Call Applied after applying. */
+/** \brief Returns the next committed entry to apply, or null. The caller calls
+ * Applied after applying it.
+ */
 const wire::LogEntry* NextCommitted(const Replica& replica);
 void Applied(Replica& replica, std::uint64_t index);
 
-/** \brief Takes the state at the applied index as the new snapshot and
- * forgets all but the last `retain` entries before it.
+/** \brief Replaces the snapshot by one at the applied index and compacts the
+ * log.
+ * \param state   serialized state at the applied index
+ * \param retain  number of entries up to that index that stay in the log
  */
 void Compact(Replica& replica, std::string state, std::uint64_t retain);
 
-/** \brief Until when this leader's lease lasts, as far as it knows now; long
- * past when it has none.
+/** \brief Returns the time at which the leader lease expires, according to the
+ * acknowledgements received so far; minus infinity if this replica is not a
+ * leader that has committed an entry of its term.
  */
 Elapsed LeaseEnd(const Replica& replica, Elapsed now);
 
-/** \brief Whether a read of the applied state can not be stale. */
+/** \brief Returns whether this replica holds the leader lease, so that reads
+ * of its applied state are not stale.
+ */
 bool HoldsLease(const Replica& replica, Elapsed now);
 
 bool IsVoter(const wire::VoterSet& voters, std::uint64_t id);
 bool IsLearner(const wire::VoterSet& voters, std::uint64_t id);
 
-/** \brief Takes what is to be done, and leaves nothing. */
+/** \brief Returns the pending actions and clears them. If they need a sync,
+ * the commit index is saved along with them.
+ */
 ReplicaActions TakeActions(Replica& replica);
 
 } // namespace wg
--- a/Source/Agreement/wgReplication.cxx
+++ b/Source/Agreement/wgReplication.cxx
@@ -53,7 +53,7 @@
     bytes += entry.change().size() + EntryBytes;
     *message.add_entries() = entry;
     if (entry.index() <= peer.sent) {
-      peer.sentAgain += entry.change().size();
+      peer.retransmittedBytes += entry.change().size();
     }
     peer.sent = std::max(peer.sent, entry.index());
     ++peer.next;
@@ -119,7 +119,7 @@
   BecomeFollower(r, m.term(), m.from());
   ResetElectionTimer(r, now, random);
   r.noVoteBefore = now + r.timing.minElection;
-  r.waitingPreVote.reset();
+  r.deferredPreVote.reset();
 }
 
 } // namespace
@@ -240,8 +240,8 @@
     return;
   }
   PeerProgress& peer = found->second;
-  peer.acknowledgedSend =
-    std::max(peer.acknowledgedSend, absl::Microseconds(m.sent_us()));
+  peer.ackedSendTime =
+    std::max(peer.ackedSendTime, absl::Microseconds(m.sent_us()));
   NoteAnswer(peer.inFlight);
   if (!m.granted()) {
     const bool isOfLarge = m.sent_us() == SentUs(peer.inFlight);
@@ -277,16 +277,16 @@
   }
 }
 
-Elapsed QuorumAcknowledgedSend(const Replica& r, Elapsed now)
+Elapsed QuorumAckedSendTime(const Replica& r, Elapsed now)
 {
   return QuorumValue<Elapsed>(
-    r, now, [](const PeerProgress& peer) { return peer.acknowledgedSend; });
+    r, now, [](const PeerProgress& peer) { return peer.ackedSendTime; });
 }
 
 void TickLeader(Replica& r, Elapsed now, absl::BitGenRef random)
 {
   const Elapsed heard = QuorumValue<Elapsed>(r, now, [](const auto& peer) {
-    return std::max(peer.acknowledgedSend, peer.trackedSince);
+    return std::max(peer.ackedSendTime, peer.trackedSince);
   });
   if (now - heard >= r.timing.maxElection) {
     BecomeFollower(r, r.hard.term(), 0);
--- a/Source/Agreement/wgReplication.h
+++ b/Source/Agreement/wgReplication.h
@@ -29,7 +29,7 @@
 /** \brief The latest time at which something was sent that a quorum has
  * acknowledged.
  */
-Elapsed QuorumAcknowledgedSend(const Replica& r, Elapsed now);
+Elapsed QuorumAckedSendTime(const Replica& r, Elapsed now);
 
 /** \brief Steps down without a quorum; else heartbeats when they are due. */
 void TickLeader(Replica& r, Elapsed now, absl::BitGenRef random);
--- a/Tests/Agreement/wgRepairTest.cxx
+++ b/Tests/Agreement/wgRepairTest.cxx
@@ -23,9 +23,9 @@
   *leader.voters.add_voters() = leader.self;
   *leader.voters.add_voters() = Voter(2, "b");
   *leader.voters.add_voters() = Voter(3, "c");
-  leader.peers[2].acknowledgedSend = now;
+  leader.peers[2].ackedSendTime = now;
   leader.peers[2].match = 10;
-  leader.peers[3].acknowledgedSend = now - absl::Seconds(2);
+  leader.peers[3].ackedSendTime = now - absl::Seconds(2);
   leader.peers[3].match = 10;
   return leader;
 }
@@ -47,7 +47,7 @@
   CHECK(step->learners(0).id() == 4);
   leader.voters = *step;
   CHECK_FALSE(wg::NextRepairStep(leader, joining, {}, now)); // not caught up
-  leader.peers[4].acknowledgedSend = now;
+  leader.peers[4].ackedSendTime = now;
   leader.peers[4].match = 10;
   step = wg::NextRepairStep(leader, joining, {}, now);
   REQUIRE(step);
@@ -76,7 +76,7 @@
   REQUIRE(step);
   CHECK(wg::IsLearner(*step, 7));
   leader.voters = *step;
-  leader.peers[7].acknowledgedSend = now;
+  leader.peers[7].ackedSendTime = now;
   leader.peers[7].match = 10;
   // The silent one may yet live: it goes only when the spare has its vote.
   step = wg::NextRepairStep(leader, joining, rules, now);
@@ -133,7 +133,7 @@
   REQUIRE(step->learners_size() == 1);
   CHECK(wg::IsLearner(*step, 7));
   leader.voters = *step;
-  leader.peers[7].acknowledgedSend = now;
+  leader.peers[7].ackedSendTime = now;
   leader.peers[7].match = 10;
   CHECK_FALSE(wg::NextRepairStep(leader, joining, rules, now)); // no vote
   // Its disk is lost: the older replica of its box gives way.
@@ -144,8 +144,8 @@
   CHECK(wg::IsLearner(*step, 9));
   // It is gone for good.
   const absl::Duration later = now + absl::Seconds(61);
-  leader.peers[2].acknowledgedSend = later;
-  leader.peers[3].acknowledgedSend = later;
+  leader.peers[2].ackedSendTime = later;
+  leader.peers[3].ackedSendTime = later;
   step = wg::NextRepairStep(leader, {}, rules, later);
   REQUIRE(step);
   CHECK(step->learners_size() == 0);
