--- a/Source/Agreement/wgElection.cxx
+++ b/Source/Agreement/wgElection.cxx
@@ -9,7 +9,7 @@
 namespace wg::detail {
 namespace {
 
-void AskForVotes(Replica& r, Kind::Kind kind, std::uint64_t term)
+void RequestVotes(Replica& r, Kind::Kind kind, std::uint64_t term)
 {
   for (const wire::Voter& voter : r.voters.voters()) {
     if (voter.id() == r.self.id()) {
@@ -22,10 +22,10 @@
   }
 }
 
-/** A replica without a vote stands only when it was asked to vote and knows
- * more than who asked: else neither of them could ever be elected.
+/** A non-voter campaigns only if a candidate with an older log requested its
+ * vote: otherwise neither of them could ever be elected.
  */
-bool MayStand(const Replica& r)
+bool MayCampaign(const Replica& r)
 {
   return IsVoter(r.voters, r.self.id()) ||
          (r.knowsMoreThanCandidate && r.voters.voters_size() > 0);
@@ -49,10 +49,10 @@
     BecomeLeader(r, now);
     return;
   }
-  AskForVotes(r, Kind::VOTE, r.hard.term());
+  RequestVotes(r, Kind::VOTE, r.hard.term());
 }
 
-bool IsLogAtLeastOurs(const Replica& r, const wire::AgreementMessage& m)
+bool IsLogUpToDate(const Replica& r, const wire::AgreementMessage& m)
 {
   if (m.last_term() != r.log.LastTerm()) {
     return m.last_term() > r.log.LastTerm();
@@ -78,7 +78,7 @@
 void StartPreVote(Replica& r, Elapsed now, absl::BitGenRef random)
 {
   ResetElectionTimer(r, now, random);
-  if (!MayStand(r)) {
+  if (!MayCampaign(r)) {
     return;
   }
   r.role = ReplicaRole::PreCandidate;
@@ -88,15 +88,15 @@
     StartElection(r, now);
     return;
   }
-  AskForVotes(r, Kind::PRE_VOTE, r.hard.term() + 1);
+  RequestVotes(r, Kind::PRE_VOTE, r.hard.term() + 1);
 }
 
 void OnVoteRequest(Replica& r, const wire::AgreementMessage& m, Elapsed now,
                    absl::BitGenRef random)
 {
   const bool isPreVote = m.kind() == Kind::PRE_VOTE;
-  // Whether this replica is a voter is for the candidate to know: its log may
-  // hold the change that made it one, and ours not yet.
+  // Non-voters vote too: the candidate's log may hold the change that made
+  // this replica a voter while its own log does not yet.
   const bool mayVote = now >= r.noVoteBefore && r.role != ReplicaRole::Leader;
   if (!mayVote) {
     if (isPreVote) {
@@ -111,9 +111,9 @@
     isPreVote ? m.term() > r.hard.term()
               : m.term() == r.hard.term() &&
                   (r.hard.vote() == 0 || r.hard.vote() == m.from());
-  const bool knowsAsMuch = IsLogAtLeastOurs(r, m);
-  const bool granted = freeToVote && knowsAsMuch;
-  r.knowsMoreThanCandidate = !knowsAsMuch;
+  const bool isUpToDate = IsLogUpToDate(r, m);
+  const bool granted = freeToVote && isUpToDate;
+  r.knowsMoreThanCandidate = !isUpToDate;
   if (granted && !isPreVote) {
     r.hard.set_vote(m.from());
     r.actions.saveHardState = true;
--- a/Source/Agreement/wgElection.h
+++ b/Source/Agreement/wgElection.h
@@ -3,19 +3,19 @@
 
 #include "wgReplica.h"
 
-// How a leader is found.
+// Leader election.
 namespace wg::detail {
 
 void BecomeLeader(Replica& r, Elapsed now);
 
-/** \brief Asks whether others would vote, before a term is spent on it. */
+/** \brief Requests pre-votes, so that a failed election raises no term. */
 void StartPreVote(Replica& r, Elapsed now, absl::BitGenRef random);
 
 void OnVoteRequest(Replica& r, const wire::AgreementMessage& m, Elapsed now,
                    absl::BitGenRef random);
-/** \brief Answers a pre-vote that came before this replica might vote, once
- * it may: who asked would wait for its next election time otherwise. To it
- * this is a message that was long on its way.
+/** \brief Answers a deferred pre-vote request once this replica may vote;
+ * without it, the candidate would wait for its next election timeout. To the
+ * candidate the request seems delayed by the network.
  */
 void AnswerDeferredPreVote(Replica& r, Elapsed now, absl::BitGenRef random);
 
--- a/Source/Agreement/wgInFlight.cxx
+++ b/Source/Agreement/wgInFlight.cxx
@@ -8,14 +8,14 @@
 namespace wg::detail {
 namespace {
 
-/** 50 ms of the slowest links in use, 10 Mbit/s: no more than a heartbeat's
- * period.
- */
+/** One heartbeat period, 50 ms, on the slowest links in use, 10 Mbit/s. */
 constexpr std::size_t LargeBytes = 64U << 10U;
 constexpr std::size_t MaxBytesInMessage = 1U << 20U;
-/** Two heartbeats, besides what the transfer takes. */
-constexpr absl::Duration LeastWait = absl::Milliseconds(100);
-/** Each loss doubles the wait, so that any link gets through in the end. */
+/** Two heartbeat periods; the transfer time is added. */
+constexpr absl::Duration MinAckTimeout = absl::Milliseconds(100);
+/** Each loss doubles the timeout, so that transfers over slow links succeed
+ * eventually.
+ */
 constexpr int MaxDoublings = 6;
 
 } // namespace
@@ -25,7 +25,7 @@
   return inFlight.bytes > LargeBytes;
 }
 
-std::size_t RoomInFlight(const InFlight& inFlight)
+std::size_t SendWindow(const InFlight& inFlight)
 {
   if (inFlight.bytes == 0) {
     return MaxBytesInMessage;
@@ -33,40 +33,41 @@
   return LargeBytes - std::min(LargeBytes, inFlight.bytes);
 }
 
-absl::Duration LostAfter(const InFlight& inFlight)
+absl::Duration AckTimeout(const InFlight& inFlight)
 {
-  return (LeastWait + TransferTime(inFlight.bytes)) * (1 << inFlight.losses);
+  return (MinAckTimeout + TransferTime(inFlight.bytes)) *
+         (1 << inFlight.losses);
 }
 
 void NoteSent(InFlight& inFlight, std::size_t bytes, std::uint64_t last,
               Elapsed now)
 {
   if (inFlight.bytes == 0) {
-    inFlight.quietSince = now;
+    inFlight.noAckSince = now;
   }
   inFlight.bytes += bytes;
   inFlight.last = std::max(inFlight.last, last);
   inFlight.sent = now;
 }
 
-void NoteConfirmed(InFlight& inFlight, std::uint64_t match, Elapsed now)
+void NoteAcknowledged(InFlight& inFlight, std::uint64_t match, Elapsed now)
 {
   inFlight.losses = 0;
-  inFlight.quietSince = now;
+  inFlight.noAckSince = now;
   if (match >= inFlight.last) {
     inFlight.bytes = 0;
     inFlight.last = 0;
   }
 }
 
-void NoteAnswer(InFlight& inFlight)
+void NoteReply(InFlight& inFlight)
 {
-  inFlight.awaitsAnswer = false;
+  inFlight.probing = false;
 }
 
 void NoteLost(InFlight& inFlight)
 {
-  inFlight.awaitsAnswer = true;
+  inFlight.probing = true;
   inFlight.bytes = 0;
   inFlight.last = 0;
   inFlight.losses = std::min(inFlight.losses + 1, MaxDoublings);
--- a/Source/Agreement/wgInFlight.h
+++ b/Source/Agreement/wgInFlight.h
@@ -8,46 +8,46 @@
 
 namespace wg {
 
-/** \brief What a leader has sent to one replica and has not been confirmed:
- * entries, or a snapshot.
+/** \brief Unacknowledged entries or snapshot that a leader sent to one
+ * replica.
  */
 struct InFlight
 {
-  std::size_t bytes = 0;  // 0: nothing
+  std::size_t bytes = 0;  // 0: nothing in flight
   std::uint64_t last = 0; // index of the newest entry
-  Elapsed sent;           // when the newest of it was
-  Elapsed quietSince;     // since when nothing of it has been confirmed
-  int losses = 0;         // in a row, without anything confirmed between
-  /** After a loss: only heartbeats until one is answered, as the replica may
+  Elapsed sent;           // send time of the newest message
+  Elapsed noAckSince;     // last acknowledgement, or first send after idle
+  int losses = 0;         // consecutive, without an acknowledgement
+  /** After a loss, only heartbeats are sent until a reply, as the replica may
    * be down.
    */
-  bool awaitsAnswer = false;
+  bool probing = false;
 };
 
 namespace detail {
 
-/** \brief Whether it takes a link long enough for heartbeats to overtake it.
+/** \brief Returns whether the transfer is so long that heartbeats overtake it.
  */
 bool IsLarge(const InFlight& inFlight);
 
-/** \brief How many bytes more may be sent before any is confirmed; at least
- * one entry may while nothing is in flight.
+/** \brief Returns how many bytes may be sent before the next acknowledgement;
+ * above 0 while nothing is in flight.
  */
-std::size_t RoomInFlight(const InFlight& inFlight);
+std::size_t SendWindow(const InFlight& inFlight);
 
-/** \brief After how long without confirmation it is taken for lost. */
-absl::Duration LostAfter(const InFlight& inFlight);
+/** \brief Returns the time without acknowledgement that counts as a loss. */
+absl::Duration AckTimeout(const InFlight& inFlight);
 
 void NoteSent(InFlight& inFlight, std::size_t bytes, std::uint64_t last,
               Elapsed now);
 
-/** \brief The replica has told that it holds all up to an index. */
-void NoteConfirmed(InFlight& inFlight, std::uint64_t match, Elapsed now);
+/** \brief Records that the replica holds all entries up to `match`. */
+void NoteAcknowledged(InFlight& inFlight, std::uint64_t match, Elapsed now);
 
-/** \brief The replica has answered something. */
-void NoteAnswer(InFlight& inFlight);
+/** \brief Records any reply of the replica. */
+void NoteReply(InFlight& inFlight);
 
-/** \brief Nothing of it is expected to arrive any more. */
+/** \brief Records that nothing in flight is expected to arrive. */
 void NoteLost(InFlight& inFlight);
 
 } // namespace detail
--- a/Source/Agreement/wgRepair.cxx
+++ b/Source/Agreement/wgRepair.cxx
@@ -6,9 +6,9 @@
 namespace wg {
 namespace {
 
-constexpr absl::Duration JoinMemory = absl::Seconds(5);
+constexpr absl::Duration JoinRequestLifetime = absl::Seconds(5);
 
-bool Answers(const Replica& leader, std::uint64_t id, Elapsed now)
+bool IsResponsive(const Replica& leader, std::uint64_t id, Elapsed now)
 {
   if (id == leader.self.id()) {
     return true;
@@ -21,11 +21,11 @@
 bool IsCaughtUp(const Replica& leader, std::uint64_t id, Elapsed now)
 {
   auto found = leader.peers.find(id);
-  return found != leader.peers.end() && Answers(leader, id, now) &&
+  return found != leader.peers.end() && IsResponsive(leader, id, now) &&
          found->second.match >= leader.commit;
 }
 
-/** Whether the voters that answer are a majority, each of them caught up. */
+/** Returns whether a majority of these voters is responsive and caught up. */
 bool HasWorkingMajority(const Replica& leader, const wire::VoterSet& voters,
                         Elapsed now)
 {
@@ -38,15 +38,15 @@
   return working > voters.voters_size() / 2;
 }
 
-/** To grow while a voter is silent would raise the quorum and leave no more
- * room for a loss; the silent one is to be replaced first.
+/** A voter added while another is unresponsive raises the quorum without
+ * tolerating a further loss; the unresponsive one must be replaced first.
  */
-bool AllVotersAnswer(const Replica& leader, Elapsed now)
+bool AreVotersResponsive(const Replica& leader, Elapsed now)
 {
   return std::all_of(leader.voters.voters().begin(),
                      leader.voters.voters().end(),
                      [&leader, now](const wire::Voter& voter) {
-                       return Answers(leader, voter.id(), now);
+                       return IsResponsive(leader, voter.id(), now);
                      });
 }
 
@@ -69,66 +69,70 @@
   return found == voters.end() ? nullptr : &*found;
 }
 
-/** Of these, the one that has been silent longest, if that is long enough. */
-const wire::Voter* FindSilentOf(
+/** Returns the replica that has been unresponsive longest, or null if none has
+ * for `minDuration`.
+ */
+const wire::Voter* FindUnresponsiveOf(
   const Replica& leader,
   const google::protobuf::RepeatedPtrField<wire::Voter>& replicas,
-  absl::Duration least, Elapsed now)
+  absl::Duration minDuration, Elapsed now)
 {
-  const wire::Voter* silent = nullptr;
-  Elapsed earliest = now - least;
+  const wire::Voter* unresponsive = nullptr;
+  Elapsed earliest = now - minDuration;
   for (const wire::Voter& replica : replicas) {
     auto peer = leader.peers.find(replica.id());
     if (replica.id() == leader.self.id() || peer == leader.peers.end()) {
       continue;
     }
-    const Elapsed heard =
+    const Elapsed lastContact =
       std::max(peer->second.ackedSendTime, peer->second.trackedSince);
-    if (heard <= earliest) {
-      earliest = heard;
-      silent = &replica;
+    if (lastContact <= earliest) {
+      earliest = lastContact;
+      unresponsive = &replica;
     }
   }
-  return silent;
+  return unresponsive;
 }
 
-const wire::Voter* FindSilent(const Replica& leader, absl::Duration least,
-                              Elapsed now)
+const wire::Voter* FindUnresponsive(const Replica& leader,
+                                    absl::Duration minDuration, Elapsed now)
 {
-  return FindSilentOf(leader, leader.voters.voters(), least, now);
+  return FindUnresponsiveOf(leader, leader.voters.voters(), minDuration, now);
 }
 
-/** The older replica of the joiner's own box: its disk is lost, so that it can
- * be taken out before the new one gets its vote.
+/** Returns the older replica on the joiner's box. Its disk is lost, so it can
+ * be removed before the new one becomes a voter.
  */
-const wire::Voter* FindOlder(const Replica& leader, const wire::Voter& joiner)
+const wire::Voter* FindOlderOnBox(const Replica& leader,
+                                  const wire::Voter& joiner)
 {
   const wire::Voter* onBox = FindOnBox(leader.voters.voters(), joiner.box());
   return onBox == nullptr || onBox->id() == joiner.id() ? nullptr : onBox;
 }
 
-/** The voter that gives way to a box without one: the one that an operator
- * gave up, or one that has long been silent. It may yet live, and stays until
- * the other has its vote. Null if none.
+/** Returns the voter that a box without one may replace, or null: the one that
+ * an operator declared lost, or one unresponsive for spareAfter. It may still
+ * be running, and stays until the other is a voter.
  */
-const wire::Voter* FindGivenUp(const Replica& leader, const std::string& spare,
-                               const RepairRules& rules, Elapsed now)
+const wire::Voter* FindReplaceable(const Replica& leader,
+                                   const std::string& standby,
+                                   const RepairRules& rules, Elapsed now)
 {
   const auto& voters = leader.voters.voters();
   const wire::Voter* lost = FindOnBox(voters, rules.replacement.lost);
-  if (lost != nullptr && rules.replacement.spare == spare) {
+  if (lost != nullptr && rules.replacement.standby == standby) {
     return lost;
   }
-  return spare == rules.replacement.lost
+  return standby == rules.replacement.lost
            ? nullptr
-           : FindSilent(leader, rules.spareAfter, now);
+           : FindUnresponsive(leader, rules.spareAfter, now);
 }
 
-/** Of the replicas of one box only the one that asked last can be alive: a
- * lost disk leaves another behind that asked before.
+/** Of the replicas of one box only the one with the newest request can be
+ * running: a lost disk leaves behind a replica with an older request.
  */
-bool AskedLastOfItsBox(absl::Span<const JoiningReplica> joining,
-                       const JoiningReplica& joiner)
+bool HasNewestRequestOfBox(absl::Span<const JoiningReplica> joining,
+                           const JoiningReplica& joiner)
 {
   return std::none_of(joining.begin(), joining.end(),
                       [&joiner](const JoiningReplica& other) {
@@ -137,7 +141,7 @@
                       });
 }
 
-/** Adds who asks as a learner, in place of an older learner of its box. */
+/** Adds a joiner as a learner, in place of an older learner of its box. */
 std::optional<wire::VoterSet> StepAddLearner(
   const Replica& leader, absl::Span<const JoiningReplica> joining,
   const RepairRules& rules, Elapsed now)
@@ -146,13 +150,13 @@
     const std::uint64_t id = joiner.who.id();
     const bool isNew = !IsVoter(leader.voters, id) &&
                        !IsLearner(leader.voters, id) &&
-                       now - joiner.lastAsked < JoinMemory &&
-                       AskedLastOfItsBox(joining, joiner);
+                       now - joiner.lastAsked < JoinRequestLifetime &&
+                       HasNewestRequestOfBox(joining, joiner);
     const bool hasPlace =
       static_cast<std::size_t>(leader.voters.voters_size()) < rules.wanted ||
       (rules.spareLearns && joiner.who.box() != rules.replacement.lost) ||
-      FindOlder(leader, joiner.who) != nullptr ||
-      FindGivenUp(leader, joiner.who.box(), rules, now) != nullptr;
+      FindOlderOnBox(leader, joiner.who) != nullptr ||
+      FindReplaceable(leader, joiner.who.box(), rules, now) != nullptr;
     if (!isNew || !hasPlace) {
       continue;
     }
@@ -169,19 +173,19 @@
   return std::nullopt;
 }
 
-/** Whether a learner may get a vote besides all that have one. */
+/** Returns whether a learner may become a voter beside all current ones. */
 bool MayAddVoter(const Replica& leader, const wire::Voter& learner,
                  const RepairRules& rules, Elapsed now)
 {
   const auto count = static_cast<std::size_t>(leader.voters.voters_size());
   const bool replaces =
-    FindGivenUp(leader, learner.box(), rules, now) != nullptr;
-  return count < rules.wanted ? replaces || AllVotersAnswer(leader, now)
+    FindReplaceable(leader, learner.box(), rules, now) != nullptr;
+  return count < rules.wanted ? replaces || AreVotersResponsive(leader, now)
                               : replaces && count == rules.wanted;
 }
 
-/** Gives a learner that has caught up its vote, or first takes the older
- * replica of its box out.
+/** Makes a caught-up learner a voter, or first removes the older replica of
+ * its box.
  */
 std::optional<wire::VoterSet> StepPromote(const Replica& leader,
                                           const RepairRules& rules,
@@ -192,7 +196,7 @@
       continue;
     }
     wire::VoterSet next = leader.voters;
-    if (const wire::Voter* older = FindOlder(leader, learner)) {
+    if (const wire::Voter* older = FindOlderOnBox(leader, learner)) {
       RemoveId(*next.mutable_voters(), older->id());
     } else if (MayAddVoter(leader, learner, rules, now)) {
       *next.add_voters() = learner;
@@ -207,24 +211,25 @@
   return std::nullopt;
 }
 
-/** Without this, each box that was replaced would be sent to forever. */
+/** Without this, the leader would send to each replaced box forever. */
 std::optional<wire::VoterSet> StepRemoveLearner(const Replica& leader,
                                                 const RepairRules& rules,
                                                 Elapsed now)
 {
-  const wire::Voter* silent =
-    rules.spareLearns
-      ? FindSilentOf(leader, leader.voters.learners(), rules.spareAfter, now)
-      : nullptr;
-  if (silent == nullptr) {
+  const wire::Voter* unresponsive =
+    rules.spareLearns ? FindUnresponsiveOf(leader, leader.voters.learners(),
+                                           rules.spareAfter, now)
+                      : nullptr;
+  if (unresponsive == nullptr) {
     return std::nullopt;
   }
   wire::VoterSet next = leader.voters;
-  RemoveId(*next.mutable_learners(), silent->id());
+  RemoveId(*next.mutable_learners(), unresponsive->id());
   return next;
 }
 
-/** Takes one voter too many out: the one that was given up, else the newest.
+/** Removes an excess voter: one declared lost or unresponsive, else the
+ * newest.
  */
 std::optional<wire::VoterSet> StepRemoveExcess(const Replica& leader,
                                                const RepairRules& rules,
@@ -236,7 +241,7 @@
   }
   const wire::Voter* excess = FindOnBox(voters, rules.replacement.lost);
   if (excess == nullptr || excess->id() == leader.self.id()) {
-    excess = FindSilent(leader, rules.spareAfter, now);
+    excess = FindUnresponsive(leader, rules.spareAfter, now);
   }
   if (excess == nullptr) {
     const wire::Voter& newest = voters[voters.size() - 1];
--- a/Source/Agreement/wgRepair.h
+++ b/Source/Agreement/wgRepair.h
@@ -9,45 +9,46 @@
 
 namespace wg {
 
-/** \brief A replica that asks to be part of the cluster. */
+/** \brief A replica that requests to join the cluster. */
 struct JoiningReplica
 {
   wire::Voter who;
   Elapsed lastAsked;
 };
 
-/** \brief An operator's word that a box is gone and which takes its place. */
+/** \brief An operator's order to replace a lost box by another. */
 struct BoxReplacement
 {
   std::string lost; // empty: none
-  std::string spare;
+  std::string standby;
 };
 
-/** \brief What repair works towards. */
+/** \brief Target of the repair of the voter set. */
 struct RepairRules
 {
-  std::size_t wanted = 3; // voters there should be
-  /** A voter silent for so long gives its vote to a box that asks to join. */
+  std::size_t wanted = 3; // target number of voters
+  /** A voter unresponsive for this long is replaced by a joining box. */
   absl::Duration spareAfter = absl::InfiniteDuration();
   BoxReplacement replacement;
-  /** Boxes beyond the wanted voters are taken in without a vote, so that they
-   * hold the replicated state too.
+  /** Boxes beyond the wanted voters join as learners, so that they hold the
+   * replicated state too.
    */
   bool spareLearns = false;
 };
 
-/** \brief Whether a replica is to ask the others to take it in: it has no
- * vote, or it hears no leader and may have been replaced without knowing.
+/** \brief Returns whether a replica should request to join: it is no voter, or
+ * it has no leader and may have been replaced without knowing.
  */
 bool ShouldAskToJoin(const Replica& replica);
 
-/** \brief The next single change of the voter set that repair asks for.
+/** \brief Returns the next voter set, a single change away from the current
+ * one.
  *
- * A replica joins without a vote, catches up, and only then takes the place
- * of the older replica on its box, of the box that an operator names, or of
- * a voter that has long been silent. Where spares learn, one that has been
- * silent for as long is taken out. Nothing is returned while a change is under
- * way or when it would leave too few voters that answer.
+ * A replica joins as a learner, catches up, and only then replaces the older
+ * replica on its box, that on the box named by an operator, or a voter that
+ * has been unresponsive for spareAfter. With spareLearns, a learner that has
+ * been unresponsive for as long is removed. Returns nothing while a change is
+ * uncommitted or if too few voters would respond after it.
  */
 std::optional<wire::VoterSet> NextRepairStep(
   const Replica& leader, absl::Span<const JoiningReplica> joining,
--- a/Source/Agreement/wgReplica.cxx
+++ b/Source/Agreement/wgReplica.cxx
@@ -153,7 +153,7 @@
 void OnNotDelivered(Replica& r, std::uint64_t to, std::int64_t sentUs)
 {
   if (r.role == ReplicaRole::Leader) {
-    NotDelivered(r, to, sentUs);
+    HandleDeliveryFailure(r, to, sentUs);
   }
 }
 
--- a/Source/Agreement/wgReplica.h
+++ b/Source/Agreement/wgReplica.h
@@ -18,22 +18,19 @@
 
 namespace wg {
 
-/** \brief Timing of the consensus protocol. All replicas of a cluster must use
- * the same values.
- */
+/** \brief Timing of the consensus protocol; the same on every replica. */
 struct AgreementTiming
 {
   absl::Duration heartbeat = absl::Milliseconds(50);
-  // Each election timeout is drawn uniformly from [minElection, maxElection).
+  // Bounds of the random election timeout.
   absl::Duration minElection = absl::Milliseconds(400);
   absl::Duration maxElection = absl::Milliseconds(800);
   int maxEntriesInMessage = 256;
   /** Longest time for which an advanced commit index stays unsaved. A change
-   * completes in about 50 ms, so it is done before this extra write is due.
+   * completes in about 50 ms, before this extra write is due.
    */
   absl::Duration commitSaveDelay = absl::Milliseconds(250);
-  /** Duration of a lease as a fraction of minElection. The remainder is the
-   * margin for clock drift.
+  /** Lease duration as a fraction of minElection; the rest covers clock drift.
    */
   double leaseShare = 0.8;
 };
@@ -46,7 +43,7 @@
   Leader
 };
 
-/** \brief Replication progress of one other replica, kept by the leader. */
+/** \brief Replication progress of one peer, kept by the leader. */
 struct PeerProgress
 {
   std::uint64_t next = 1;  // index of the next entry to send
@@ -64,8 +61,8 @@
 {
   wire::AgreementMessage message;
   bool afterSync = true; // send only after pending writes have been synced
-  /** Minimum timeout of the call that carries the message, so that a large
-   * message can complete over a slow link.
+  /** Minimum timeout of the call, so that a large message can complete over a
+   * slow link.
    */
   absl::Duration patience = absl::ZeroDuration();
 };
@@ -90,9 +87,8 @@
 
 /** \brief State machine of one replica of the replicated log.
  *
- * Only the functions below change it. They do no I/O: the current time, the
- * random source and events are arguments, and the resulting work is queued in
- * `actions`.
+ * Only the functions below change it. They do no I/O: time, randomness and
+ * events are arguments, and the resulting work is queued in `actions`.
  */
 struct Replica
 {
@@ -129,82 +125,66 @@
   ReplicaActions actions;
 };
 
-/** \brief Returns the bytes of log entries that this leader has retransmitted
- * to its current peers.
- */
+/** \brief Returns the bytes of log entries retransmitted to current peers. */
 std::uint64_t BytesSentAgain(const Replica& replica);
 
-/** \brief Initializes the volatile state of a replica whose persistent state
- * has been loaded.
- */
+/** \brief Initializes the volatile state from the loaded persistent state. */
 void StartReplica(Replica& replica, Elapsed now, absl::BitGenRef random);
 
 /** \brief Bootstraps a new cluster with this replica as its only voter. */
 void FoundCluster(Replica& replica, Elapsed now);
 
-/** \brief Runs due timers: elections, heartbeats, the write of the commit
- * index.
- */
 void OnTick(Replica& replica, Elapsed now, absl::BitGenRef random);
-
-/** \brief Processes a message; ignores one for another replica or cluster. */
 void OnMessage(Replica& replica, const wire::AgreementMessage& message,
                Elapsed now, absl::BitGenRef random);
 
-/** \brief Handles a failed delivery of entries or of a snapshot.
- * \param to      the replica that the message was addressed to
- * \param sentUs  send time that the message carries, in microseconds
+/** \brief Handles the failed delivery of entries or of a snapshot.
+ * \param sentUs  sent_us of the message
  */
 void OnNotDelivered(Replica& replica, std::uint64_t to, std::int64_t sentUs);
 
-/** \brief Records that all writes requested through `actions` are durable. */
+/** \brief Records that all requested writes are durable. */
 void OnSynced(Replica& replica);
 
-/** \brief Appends a change to the log.
- * \return its index, or nothing if this replica is not the leader
+/** \brief Appends a change; returns its index, or nothing if not the leader.
  */
 std::optional<std::uint64_t> Propose(Replica& replica, std::string change,
                                      Elapsed now);
 
-/** \brief Appends a voter set that differs from the current one in at most one
- * voter.
- * \return its index; nothing if the set is empty or differs in more voters, if
- * this replica is not a leader that has committed an entry of its term, or if
- * the previous voter change is uncommitted
+/** \brief Appends a voter set that differs in at most one voter. Returns
+ * nothing unless this leader has committed an entry of its term and the last
+ * voter change.
  */
 std::optional<std::uint64_t> ProposeVoters(Replica& replica,
                                            const wire::VoterSet& voters,
                                            Elapsed now);
 
-/** \brief Returns the next committed entry to apply, or null. The caller calls
- * Applied after applying it.
+/** \brief Returns the next entry to apply, or null. Call Applied after
+ * applying it.
  */
 const wire::LogEntry* NextCommitted(const Replica& replica);
 void Applied(Replica& replica, std::uint64_t index);
 
-/** \brief Replaces the snapshot by one at the applied index and compacts the
- * log.
- * \param state   serialized state at the applied index
- * \param retain  number of entries up to that index that stay in the log
+/** \brief Replaces the snapshot by `state`, which is that at the applied
+ * index, and drops all but the last `retain` entries up to it.
  */
 void Compact(Replica& replica, std::string state, std::uint64_t retain);
 
-/** \brief Returns the time at which the leader lease expires, according to the
- * acknowledgements received so far; minus infinity if this replica is not a
- * leader that has committed an entry of its term.
+/** \brief Returns when the leader lease expires by the acknowledgements
+ * received so far; minus infinity if there is none.
  */
 Elapsed LeaseEnd(const Replica& replica, Elapsed now);
 
-/** \brief Returns whether this replica holds the leader lease, so that reads
- * of its applied state are not stale.
+/** \brief Returns whether reads of the applied state are certain to be
+ * current.
  */
 bool HoldsLease(const Replica& replica, Elapsed now);
 
 bool IsVoter(const wire::VoterSet& voters, std::uint64_t id);
 bool IsLearner(const wire::VoterSet& voters, std::uint64_t id);
 
-/** \brief Returns the pending actions and clears them. If they need a sync,
- * the commit index is saved along with them.
+/** \brief Returns and clears the pending actions; if they need a sync, they
+ * also save the commit index.
  */
 ReplicaActions TakeActions(Replica& replica);
 
--- a/Source/Agreement/wgReplicaDetail.h
+++ b/Source/Agreement/wgReplicaDetail.h
@@ -7,7 +7,7 @@
 
 #include "wgReplica.h"
 
-// Steps that elections and replication share.
+// Helpers of both elections and replication.
 namespace wg::detail {
 
 using Kind = wire::AgreementMessage;
@@ -19,22 +19,22 @@
 
 void Send(Replica& r, wire::AgreementMessage message, bool afterSync = true);
 
-/** \brief Finds the voter set in force: the newest in the log, or the
- * snapshot's.
+/** \brief Sets the voters to the newest set in the log, else the snapshot's.
  */
 void RecomputeVoters(Replica& r);
 
-/** \brief Called when the newest voter set may have gone or come. */
+/** \brief Adds and removes peers to match the voters and learners. */
 void TrackPeers(Replica& r, Elapsed now);
 
 void AppendLocal(Replica& r, wire::LogEntry entry);
 void TruncateLocal(Replica& r, std::uint64_t from);
 void BecomeFollower(Replica& r, std::uint64_t term, std::uint64_t leader);
 
-/** \brief How many voters are a majority. */
+/** \brief Returns the size of a majority of the voters. */
 std::size_t Quorum(const Replica& r);
 
-/** \brief The value that a quorum of voters has reached, self included. */
+/** \brief Returns the highest value that a quorum has reached, self included.
+ */
 template <class T, class OfPeer>
 T QuorumValue(const Replica& r, T own, OfPeer ofPeer)
 {
--- a/Source/Agreement/wgReplicaLog.h
+++ b/Source/Agreement/wgReplicaLog.h
@@ -11,9 +11,10 @@
 namespace wg {
 
 /** \class ReplicaLog
- * \brief The entries after a base, which stands for all compacted ones.
+ * \brief In-memory log entries after a base that stands for all compacted
+ * ones.
  *
- * Indices start at 1 and have no gaps. Pure: nothing here is on a disk.
+ * Indices start at 1 and have no gaps.
  */
 class ReplicaLog
 {
@@ -23,16 +24,16 @@
   std::uint64_t BaseIndex() const { return baseIndex_; }
   std::uint64_t BaseTerm() const { return baseTerm_; }
   std::uint64_t LastTerm() const { return TermAt(LastIndex()); }
-  /** \brief 0 for an index that is compacted or not there. */
+  /** \brief Returns 0 for an index before the base or after the last entry. */
   std::uint64_t TermAt(std::uint64_t index) const;
   bool Has(std::uint64_t index) const;
   const wire::LogEntry& At(std::uint64_t index) const;
   void Append(wire::LogEntry entry);
-  /** \brief Forgets the entries from the index on. */
+  /** \brief Removes the entries from `index` on. */
   void TruncateFrom(std::uint64_t index);
-  /** \brief Forgets the entries up to the index, which must be there. */
+  /** \brief Removes the entries up to `index`, which the log must hold. */
   void CompactTo(std::uint64_t index);
-  /** \brief Forgets all entries and starts after the given one. */
+  /** \brief Removes all entries and sets the base. */
   void Reset(std::uint64_t baseIndex, std::uint64_t baseTerm);
 
 private:
--- a/Source/Agreement/wgReplication.cxx
+++ b/Source/Agreement/wgReplication.cxx
@@ -9,8 +9,8 @@
 namespace wg::detail {
 namespace {
 
-/** What an entry takes in a message besides its change, about. */
-constexpr std::size_t EntryBytes = 64;
+/** Approximate size of an entry in a message without its change. */
+constexpr std::size_t EntryOverheadBytes = 64;
 
 enum class AppendCause
 {
@@ -18,39 +18,39 @@
   Progress
 };
 
-/** Sends entries or a snapshot; heartbeats go on meanwhile. */
+/** Sends entries or a snapshot; heartbeats continue meanwhile. */
 void SendBulk(Replica& r, wire::AgreementMessage message, std::size_t bytes,
               std::uint64_t last, Elapsed now)
 {
   InFlight& inFlight = r.peers[message.to()].inFlight;
   NoteSent(inFlight, bytes, last, now);
   Send(r, std::move(message), false);
-  r.actions.messages.back().patience = LostAfter(inFlight);
+  r.actions.messages.back().patience = AckTimeout(inFlight);
 }
 
 void SendSnapshot(Replica& r, std::uint64_t to, Elapsed now)
 {
   const InFlight& inFlight = r.peers[to].inFlight;
-  if (inFlight.bytes > 0 || inFlight.awaitsAnswer) {
+  if (inFlight.bytes > 0 || inFlight.probing) {
     return;
   }
   auto message = MakeMessage(r, Kind::SNAPSHOT, to, r.hard.term());
   message.set_sent_us(absl::ToInt64Microseconds(now));
   *message.mutable_snapshot() = r.snapshot;
-  const std::size_t bytes = r.snapshot.state().size() + EntryBytes;
+  const std::size_t bytes = r.snapshot.state().size() + EntryOverheadBytes;
   SendBulk(r, std::move(message), bytes, r.snapshot.index(), now);
 }
 
-/** As many of the next entries as may be sent now. */
+/** Adds as many entries as the send window allows; returns their bytes. */
 std::size_t AddEntries(const Replica& r, PeerProgress& peer,
                        wire::AgreementMessage& message)
 {
-  const std::size_t room = RoomInFlight(peer.inFlight);
+  const std::size_t window = SendWindow(peer.inFlight);
   std::size_t bytes = 0;
-  while (r.log.Has(peer.next) && bytes < room &&
+  while (r.log.Has(peer.next) && bytes < window &&
          message.entries_size() < r.timing.maxEntriesInMessage) {
     const wire::LogEntry& entry = r.log.At(peer.next);
-    bytes += entry.change().size() + EntryBytes;
+    bytes += entry.change().size() + EntryOverheadBytes;
     *message.add_entries() = entry;
     if (entry.index() <= peer.sent) {
       peer.retransmittedBytes += entry.change().size();
@@ -61,11 +61,11 @@
   return bytes;
 }
 
-/** The entry that a message to the replica follows. While something large is
- * in flight it is one that the replica is known to hold: a heartbeat overtakes
- * what is in flight, and would be refused.
+/** Returns the index of the entry that the entries of a message follow. During
+ * a large transfer it is one that the replica is known to hold: a heartbeat
+ * overtakes the transfer and would be rejected otherwise.
  */
-std::uint64_t EntryBefore(const Replica& r, const PeerProgress& peer)
+std::uint64_t PrecedingIndex(const Replica& r, const PeerProgress& peer)
 {
   if (IsLarge(peer.inFlight)) {
     return peer.match;
@@ -82,16 +82,16 @@
     SendSnapshot(r, to, now);
   }
   const bool mayAdd =
-    !needsSnapshot && !IsLarge(peer.inFlight) && !peer.inFlight.awaitsAnswer;
+    !needsSnapshot && !IsLarge(peer.inFlight) && !peer.inFlight.probing;
   if (!mayAdd && cause != AppendCause::Heartbeat) {
     return;
   }
   auto message = MakeMessage(r, Kind::APPEND, to, r.hard.term());
   message.set_commit(r.commit);
   message.set_sent_us(absl::ToInt64Microseconds(now));
-  const std::uint64_t before = EntryBefore(r, peer);
-  message.set_last_index(before);
-  message.set_last_term(r.log.TermAt(before));
+  const std::uint64_t preceding = PrecedingIndex(r, peer);
+  message.set_last_index(preceding);
+  message.set_last_term(r.log.TermAt(preceding));
   const std::size_t bytes = mayAdd ? AddEntries(r, peer, message) : 0;
   if (bytes > 0) {
     SendBulk(r, std::move(message), bytes, peer.next - 1, now);
@@ -105,16 +105,16 @@
   return absl::ToInt64Microseconds(inFlight.sent);
 }
 
-/** Begins again after the last entry that the replica is known to hold. */
+/** Restarts after the last entry that the replica is known to hold. */
 void ResendTo(PeerProgress& peer)
 {
   NoteLost(peer.inFlight);
   peer.next = peer.match + 1;
 }
 
-/** A message of the leader of the current term has come. */
-void HearLeader(Replica& r, const wire::AgreementMessage& m, Elapsed now,
-                absl::BitGenRef random)
+/** Handles contact with the leader of the current term. */
+void OnLeaderContact(Replica& r, const wire::AgreementMessage& m, Elapsed now,
+                     absl::BitGenRef random)
 {
   BecomeFollower(r, m.term(), m.from());
   ResetElectionTimer(r, now, random);
@@ -152,7 +152,7 @@
   }
   const auto reached = QuorumValue<std::uint64_t>(
     r, r.synced, [](const PeerProgress& peer) { return peer.match; });
-  // Only an entry of this term commits by count; it carries those before.
+  // Only entries of this term commit by quorum; earlier ones commit with them.
   if (reached <= r.commit || r.log.TermAt(reached) != r.hard.term()) {
     return;
   }
@@ -177,16 +177,16 @@
 void OnAppend(Replica& r, const wire::AgreementMessage& m, Elapsed now,
               absl::BitGenRef random)
 {
-  HearLeader(r, m, now, random);
-  const std::uint64_t before = m.last_index();
+  OnLeaderContact(r, m, now, random);
+  const std::uint64_t preceding = m.last_index();
   const bool known =
-    before <= r.commit ||
-    (before <= r.log.LastIndex() && r.log.TermAt(before) == m.last_term());
+    preceding <= r.commit || (preceding <= r.log.LastIndex() &&
+                              r.log.TermAt(preceding) == m.last_term());
   if (!known) {
-    ReplyAppend(r, m, false, std::min(before - 1, r.log.LastIndex()));
+    ReplyAppend(r, m, false, std::min(preceding - 1, r.log.LastIndex()));
     return;
   }
-  std::uint64_t last = before;
+  std::uint64_t last = preceding;
   for (const wire::LogEntry& entry : m.entries()) {
     last = entry.index();
     if (entry.index() <= r.commit) {
@@ -207,14 +207,14 @@
 void OnSnapshotMessage(Replica& r, const wire::AgreementMessage& m,
                        Elapsed now, absl::BitGenRef random)
 {
-  HearLeader(r, m, now, random);
+  OnLeaderContact(r, m, now, random);
   const wire::Snapshot& snapshot = m.snapshot();
   if (snapshot.index() <= r.commit) {
     ReplyAppend(r, m, true, r.commit);
     return;
   }
   if (r.log.TermAt(snapshot.index()) == snapshot.term()) {
-    // The entries after it may count for a quorum: they must stay.
+    // Entries after the snapshot may count towards a quorum and must stay.
     r.commit = snapshot.index();
     ReplyAppend(r, m, true, r.commit);
     return;
@@ -242,13 +242,13 @@
   PeerProgress& peer = found->second;
   peer.ackedSendTime =
     std::max(peer.ackedSendTime, absl::Microseconds(m.sent_us()));
-  NoteAnswer(peer.inFlight);
+  NoteReply(peer.inFlight);
   if (!m.granted()) {
-    const bool isOfLarge = m.sent_us() == SentUs(peer.inFlight);
-    if (IsLarge(peer.inFlight) && !isOfLarge) {
-      return; // of a message that overtook it
+    const bool isTransferReply = m.sent_us() == SentUs(peer.inFlight);
+    if (IsLarge(peer.inFlight) && !isTransferReply) {
+      return; // reply to a message that overtook the transfer
     }
-    // A late refusal must not undo what is known to match.
+    // A delayed rejection must not undo what is known to match.
     peer.inFlight = {};
     peer.next = std::max(peer.match, std::min(peer.next - 1, m.match())) + 1;
     SendAppend(r, m.from(), now, AppendCause::Progress);
@@ -256,7 +256,7 @@
   }
   if (m.match() > peer.match) {
     peer.match = m.match();
-    NoteConfirmed(peer.inFlight, peer.match, now);
+    NoteAcknowledged(peer.inFlight, peer.match, now);
   }
   peer.next = std::max(peer.next, peer.match + 1);
   AdvanceCommit(r);
@@ -265,7 +265,7 @@
   }
 }
 
-void NotDelivered(Replica& r, std::uint64_t to, std::int64_t sentUs)
+void HandleDeliveryFailure(Replica& r, std::uint64_t to, std::int64_t sentUs)
 {
   auto found = r.peers.find(to);
   if (found == r.peers.end()) {
@@ -285,10 +285,11 @@
 
 void TickLeader(Replica& r, Elapsed now, absl::BitGenRef random)
 {
-  const Elapsed heard = QuorumValue<Elapsed>(r, now, [](const auto& peer) {
-    return std::max(peer.ackedSendTime, peer.trackedSince);
-  });
-  if (now - heard >= r.timing.maxElection) {
+  const Elapsed lastContact =
+    QuorumValue<Elapsed>(r, now, [](const auto& peer) {
+      return std::max(peer.ackedSendTime, peer.trackedSince);
+    });
+  if (now - lastContact >= r.timing.maxElection) {
     BecomeFollower(r, r.hard.term(), 0);
     ResetElectionTimer(r, now, random);
     return;
@@ -299,7 +300,7 @@
   for (auto& [id, peer] : r.peers) {
     const InFlight& inFlight = peer.inFlight;
     const bool isLost =
-      inFlight.bytes > 0 && now - inFlight.quietSince > LostAfter(inFlight);
+      inFlight.bytes > 0 && now - inFlight.noAckSince > AckTimeout(inFlight);
     if (isLost) {
       ResendTo(peer);
     }
--- a/Source/Agreement/wgReplication.h
+++ b/Source/Agreement/wgReplication.h
@@ -3,16 +3,16 @@
 
 #include "wgReplica.h"
 
-// How entries and snapshots get from the leader to the other replicas.
+// Replication of entries and snapshots from the leader to its peers.
 namespace wg::detail {
 
-/** \brief Appends an entry of the leader's own; its index. */
+/** \brief Appends an entry of this leader; returns its index. */
 std::uint64_t AppendOwn(Replica& r, wire::LogEntry entry);
 
-/** \brief Sends each peer what it lacks, or a heartbeat. */
+/** \brief Sends each peer the entries it lacks, or a heartbeat. */
 void SendAppendToAll(Replica& r, Elapsed now);
 
-/** \brief Takes in that more is synced on a quorum. */
+/** \brief Advances the commit index to what a quorum has synced. */
 void AdvanceCommit(Replica& r);
 
 void ReplyAppend(Replica& r, const wire::AgreementMessage& m, bool matched,
@@ -23,15 +23,13 @@
                        Elapsed now, absl::BitGenRef random);
 void OnAppendReply(Replica& r, const wire::AgreementMessage& m, Elapsed now);
 
-/** \brief What was sent to a replica at a time will not arrive. */
-void NotDelivered(Replica& r, std::uint64_t to, std::int64_t sentUs);
+/** \brief Schedules a retransmission if the failed message is in flight. */
+void HandleDeliveryFailure(Replica& r, std::uint64_t to, std::int64_t sentUs);
 
-/** \brief The latest time at which something was sent that a quorum has
- * acknowledged.
- */
+/** \brief Returns the latest send time that a quorum has acknowledged. */
 Elapsed QuorumAckedSendTime(const Replica& r, Elapsed now);
 
-/** \brief Steps down without a quorum; else heartbeats when they are due. */
+/** \brief Steps down without a quorum; else sends heartbeats when due. */
 void TickLeader(Replica& r, Elapsed now, absl::BitGenRef random);
 
 } // namespace wg::detail
