--- a/Tests/Agreement/wgAgreementSchedules.cxx
+++ b/Tests/Agreement/wgAgreementSchedules.cxx
@@ -15,7 +15,7 @@
 constexpr std::size_t SmallCluster = 3;
 constexpr std::size_t LargeCluster = 5;
 
-/** Adds the counts of many schedules up. */
+/** Sums the counts of all schedules across threads. */
 class Totals
 {
 public:
@@ -25,7 +25,7 @@
     sum_.acknowledged += counts.acknowledged;
     sum_.crashes += counts.crashes;
     sum_.wipes += counts.wipes;
-    sum_.gone += counts.gone;
+    sum_.removed += counts.removed;
     sum_.voterChanges += counts.voterChanges;
     sum_.snapshots += counts.snapshots;
     sum_.elections += counts.elections;
@@ -77,7 +77,7 @@
   std::cout << count.getValue() << " schedules: " << sum.acknowledged
             << " acknowledged entries, " << sum.elections << " elections, "
             << sum.crashes << " crashes, " << sum.wipes << " lost disks, "
-            << sum.gone << " lost boxes, " << sum.voterChanges
+            << sum.removed << " lost boxes, " << sum.voterChanges
             << " voter changes, " << sum.snapshots << " snapshots, "
             << failures << " failures\n";
   return failures == 0 ? 0 : 1;
--- a/Tests/Agreement/wgElectionTest.cxx
+++ b/Tests/Agreement/wgElectionTest.cxx
@@ -17,10 +17,10 @@
 constexpr absl::Duration Tick = absl::Milliseconds(15);
 constexpr absl::Duration StartGap = absl::Milliseconds(150);
 
-/** Three voters whose processes are started again, one after the other. */
-struct Restarted
+/** Three voters whose processes restart one after the other. */
+struct RestartedCluster
 {
-  explicit Restarted(std::uint64_t seed)
+  explicit RestartedCluster(std::uint64_t seed)
     : random(seed)
   {
     for (std::uint64_t id = 1; id <= 3; ++id) {
@@ -36,7 +36,7 @@
       replicas.push_back(std::move(replica));
     }
   }
-  /** Writes nothing: a disk that syncs at once. */
+  /** Writes to disk succeed immediately. */
   void Step()
   {
     now += Tick;
@@ -84,36 +84,37 @@
 
 } // namespace
 
-TEST_CASE("After a restart of all, a leader mostly stands by the first timer")
+TEST_CASE(
+  "After a restart of all voters the first timeout mostly elects a leader")
 {
-  // The first of three timers ends within 0.8 s; a quorum may vote 0.55 s
-  // after the start.
-  const absl::Duration soon = wg::AgreementTiming().maxElection + 2 * Tick;
+  // The first of three election timeouts ends within 0.8 s; a quorum may vote
+  // from 0.55 s after the start.
+  const absl::Duration maxDelay = wg::AgreementTiming().maxElection + 2 * Tick;
   int late = 0;
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     CAPTURE(seed);
-    Restarted cluster(seed);
+    RestartedCluster cluster(seed);
     const Elapsed start = cluster.now;
     while (!cluster.HasLeader() && cluster.now - start < absl::Seconds(10)) {
       cluster.Step();
     }
     REQUIRE(cluster.HasLeader());
-    late += cluster.now - start > soon ? 1 : 0;
+    late += cluster.now - start > maxDelay ? 1 : 0;
   }
-  CHECK(late <= 4); // two that stood at the same moment
+  CHECK(late <= 4); // split votes
 }
 
-TEST_CASE("A pre-vote that waits is dropped once a leader is heard")
+TEST_CASE("A deferred pre-vote is dropped on contact with a leader")
 {
-  Restarted cluster(1);
+  RestartedCluster cluster(1);
   Replica& replica = cluster.replicas[0];
-  wg::wire::AgreementMessage ask;
-  ask.set_kind(wg::wire::AgreementMessage::PRE_VOTE);
-  ask.set_from(2);
-  ask.set_to(1);
-  ask.set_term(5);
-  ask.set_cluster("c");
-  wg::OnMessage(replica, ask, cluster.now, cluster.random);
+  wg::wire::AgreementMessage request;
+  request.set_kind(wg::wire::AgreementMessage::PRE_VOTE);
+  request.set_from(2);
+  request.set_to(1);
+  request.set_term(5);
+  request.set_cluster("c");
+  wg::OnMessage(replica, request, cluster.now, cluster.random);
   CHECK(wg::TakeActions(replica).messages.empty());
   wg::wire::AgreementMessage heartbeat;
   heartbeat.set_kind(wg::wire::AgreementMessage::APPEND);
--- a/Tests/Agreement/wgFakeCluster.cxx
+++ b/Tests/Agreement/wgFakeCluster.cxx
@@ -11,13 +11,13 @@
 namespace wg::test {
 namespace {
 
-constexpr std::size_t MaxNetwork = 400;
-/** A second disk is lost no sooner than the leader can notice the first. */
+constexpr std::size_t MaxMessagesInNetwork = 400;
+/** Minimum time between two losses, so that the leader detects the first. */
 constexpr absl::Duration LossGap = absl::Seconds(1);
-/** A voter silent for so long is replaced by a spare. */
-constexpr absl::Duration SpareAfter = absl::Milliseconds(1500);
-// Crashes go on meanwhile, and a spare needs a leader that lasts a while.
-constexpr int SettleRounds = 12000;
+/** A voter unresponsive for this long is replaced by a standby. */
+constexpr absl::Duration StandbyAfter = absl::Milliseconds(1500);
+// Crashes continue meanwhile, and a standby needs a stable leader.
+constexpr int ConvergeRounds = 12000;
 constexpr std::uint64_t CompactAfter = 8;
 
 std::uint64_t Chain(std::uint64_t before, const std::string& bytes)
@@ -28,13 +28,13 @@
 } // namespace
 
 FakeCluster::FakeCluster(std::uint64_t seed, std::size_t voters,
-                         std::size_t spares)
+                         std::size_t standbys)
   : wanted_(voters)
   , spareLearns_(seed % 4 == 3)
 {
-  // Not absl::BitGen: that one differs from process to process.
+  // Not absl::BitGen, whose sequence differs between processes.
   random_.seed(seed);
-  boxes_.resize(voters + spares);
+  boxes_.resize(voters + standbys);
   for (std::size_t i = 0; i < boxes_.size(); ++i) {
     FakeBox& box = boxes_[i];
     box.name = absl::StrCat("box-", i);
@@ -82,7 +82,8 @@
   replica.self.set_id(box.disk.id);
   replica.self.set_box(box.name);
   replica.cluster = box.disk.cluster;
-  // Small messages let a leader die between an old entry and its own.
+  // With small messages, a leader can crash between sending an entry of an
+  // older term and one of its own.
   replica.timing.maxEntriesInMessage = absl::Uniform(random_, 1, 5);
   replica.hard = box.disk.hard;
   replica.log = box.disk.log;
@@ -113,21 +114,21 @@
   ++counts_.wipes;
 }
 
-/** The box never comes back; a spare is to take its place. */
-void FakeCluster::TakeAway(FakeBox& box)
+/** Removes a box permanently; a standby is to replace it. */
+void FakeCluster::RemoveBox(FakeBox& box)
 {
   Crash(box);
   lastWipe_ = time_;
   lostIdentities_.insert(box.disk.id);
-  box.gone = true;
-  ++counts_.gone;
+  box.removed = true;
+  ++counts_.removed;
 }
 
-bool FakeCluster::HasSpare() const
+bool FakeCluster::HasStandby() const
 {
   const auto left =
     std::count_if(boxes_.begin(), boxes_.end(),
-                  [](const FakeBox& box) { return !box.gone; });
+                  [](const FakeBox& box) { return !box.removed; });
   return static_cast<std::size_t>(left) > wanted_;
 }
 
@@ -142,7 +143,7 @@
   return left > voters.voters_size() / 2;
 }
 
-/** The committed voter set, and any later one that is still in some log. */
+/** Returns the committed voter set and all later ones in any log. */
 std::vector<wire::VoterSet> FakeCluster::PossibleVoterSets() const
 {
   std::vector<wire::VoterSet> sets = { committedVoters_ };
@@ -160,11 +161,11 @@
   return sets;
 }
 
-/** A spare that takes a lost voter's place counts as that voter: both gone
- * before the repair ends are two losses.
+/** A standby that replaces a lost voter counts as that voter: losing it before
+ * the repair ends is a second loss.
  */
-bool FakeCluster::MayTakeAPlace(const FakeBox& box,
-                                const wire::VoterSet& voters) const
+bool FakeCluster::MayReplaceLostVoter(const FakeBox& box,
+                                      const wire::VoterSet& voters) const
 {
   const bool anyLost = std::any_of(
     voters.voters().begin(), voters.voters().end(),
@@ -172,22 +173,21 @@
   return boxes_.size() > wanted_ && anyLost && !IsVoter(voters, box.disk.id);
 }
 
-/** No more disks may be lost than a majority survives, in every voter set
- * that may hold.
+/** A disk may be lost only if a majority survives in every possible voter set.
  */
 bool FakeCluster::MayWipe(const FakeBox& box) const
 {
-  // A lone voter that takes a second one needs both from then on.
-  const bool isLone = committedVoters_.voters_size() < 2;
+  // A single voter that adds a second one needs both from then on.
+  const bool isSingle = committedVoters_.voters_size() < 2;
   const bool soonAfterLoss = time_ - lastWipe_ < LossGap;
-  if (isLone || soonAfterLoss) {
+  if (isSingle || soonAfterLoss) {
     return false;
   }
   const std::vector<wire::VoterSet> sets = PossibleVoterSets();
   return std::all_of(sets.begin(), sets.end(),
                      [this, &box](const wire::VoterSet& voters) {
                        return SurvivesLossOf(voters, box.disk.id) &&
-                              !MayTakeAPlace(box, voters);
+                              !MayReplaceLostVoter(box, voters);
                      });
 }
 
@@ -197,9 +197,9 @@
     Step();
     CheckAll();
   }
-  if (failure_.empty() && !Settle()) {
-    Fail(absl::StrCat("after all faults ended the cluster did not come "
-                      "together:",
+  if (failure_.empty() && !Converge()) {
+    Fail(absl::StrCat("after all faults ended the cluster did not "
+                      "converge:",
                       Describe()));
   }
   return failure_;
@@ -245,20 +245,20 @@
   if (Chance(0.012) && box.up) {
     Crash(box);
   }
-  if (Chance(0.05) && !box.up && !box.gone) {
+  if (Chance(0.05) && !box.up && !box.removed) {
     Start(box);
   }
-  if (Chance(0.006) && !box.gone && MayWipe(box)) {
+  if (Chance(0.006) && !box.removed && MayWipe(box)) {
     Wipe(box);
   }
-  if (Chance(0.006) && !box.gone && HasSpare() && MayWipe(box)) {
-    TakeAway(box);
+  if (Chance(0.006) && !box.removed && HasStandby() && MayWipe(box)) {
+    RemoveBox(box);
   }
   if (Chance(0.015)) {
-    cuts_.insert({ box.name, other.name });
+    cutLinks_.insert({ box.name, other.name });
   }
   if (Chance(0.03)) {
-    cuts_.clear();
+    cutLinks_.clear();
   }
 }
 
@@ -269,7 +269,7 @@
       continue;
     }
     if (ShouldAskToJoin(box.process)) {
-      AskToJoin(box);
+      RequestToJoin(box);
     }
     if (box.process.cluster.empty()) {
       continue;
@@ -282,18 +282,18 @@
       }
       RepairRules rules;
       rules.wanted = wanted_;
-      rules.spareAfter = SpareAfter;
+      rules.spareAfter = StandbyAfter;
       rules.spareLearns = spareLearns_;
       const auto step = NextRepairStep(box.process, joining, rules, Now(box));
       if (step && ProposeVoters(box.process, *step, Now(box))) {
         ++counts_.voterChanges;
       }
     }
-    CarryOut(box);
+    ExecuteActions(box);
   }
 }
 
-void FakeCluster::AskToJoin(FakeBox& box)
+void FakeCluster::RequestToJoin(FakeBox& box)
 {
   if (box.process.cluster.empty()) {
     box.process.cluster = "c";
@@ -309,7 +309,7 @@
   }
   const auto at = absl::Uniform<std::size_t>(random_, 0, network_.size());
   const wire::AgreementMessage message = network_[at];
-  if (!Chance(0.1)) { // else it will come a second time
+  if (!Chance(0.1)) { // else it is delivered again later
     network_[at] = network_.back();
     network_.pop_back();
   }
@@ -318,9 +318,9 @@
     return;
   }
   FakeBox* from = BoxOf(message.from());
-  if (from != nullptr && Chance(0.5)) { // a connection that broke tells so
+  if (from != nullptr && Chance(0.5)) { // a broken connection is reported
     OnNotDelivered(from->process, message.to(), message.sent_us());
-    CarryOut(*from);
+    ExecuteActions(*from);
   }
 }
 
@@ -330,13 +330,13 @@
   FakeBox* from = BoxOf(message.from());
   const bool cut =
     to == nullptr ||
-    (from != nullptr && (cuts_.count({ from->name, to->name }) != 0 ||
-                         cuts_.count({ to->name, from->name }) != 0));
+    (from != nullptr && (cutLinks_.count({ from->name, to->name }) != 0 ||
+                         cutLinks_.count({ to->name, from->name }) != 0));
   if (cut) {
     return;
   }
   OnMessage(to->process, message, Now(*to), random_);
-  CarryOut(*to);
+  ExecuteActions(*to);
 }
 
 void FakeCluster::Propose()
@@ -347,7 +347,7 @@
     }
     const std::string payload = absl::StrCat("p", nextPayload_++);
     if (wg::Propose(box.process, payload, Now(box))) {
-      CarryOut(box);
+      ExecuteActions(box);
     }
   }
 }
@@ -372,8 +372,8 @@
   }
 }
 
-/** Does what ControlNode does, with a crash at any point between. */
-void FakeCluster::CarryOut(FakeBox& box)
+/** Executes the actions as ControlNode does, with a crash at any point. */
+void FakeCluster::ExecuteActions(FakeBox& box)
 {
   ReplicaActions actions = TakeActions(box.process);
   for (const OutgoingMessage& outgoing : actions.messages) {
@@ -383,7 +383,7 @@
   }
   if (actions.NeedsSync() && Chance(0.01)) {
     if (Chance(0.5) && !actions.install && !actions.append.empty()) {
-      // A torn write: the first part of the entries lasted.
+      // A torn write: only the first entries reached the disk.
       actions.append.resize(
         absl::Uniform<std::size_t>(random_, 0, actions.append.size()));
       actions.saveHardState = false;
@@ -407,7 +407,7 @@
       network_.push_back(outgoing.message);
     }
   }
-  while (network_.size() > MaxNetwork) {
+  while (network_.size() > MaxMessagesInNetwork) {
     network_.erase(network_.begin());
   }
   Apply(box);
@@ -475,10 +475,10 @@
   }
 }
 
-/** Whether there are as many voters as wanted, none of them lost, and all
- * have applied so much.
+/** Returns whether the target number of voters is running and all of them have
+ * applied `index`.
  */
-bool FakeCluster::VotersHave(std::uint64_t index) const
+bool FakeCluster::HaveVotersApplied(std::uint64_t index) const
 {
   std::size_t have = 0;
   for (const FakeBox& box : boxes_) {
@@ -488,18 +488,16 @@
   return have == wanted_;
 }
 
-/** Ends all faults and waits until all voters have the same and a new entry is
- * committed.
- */
-bool FakeCluster::Settle()
+/** Ends all faults and waits until all voters have applied a new entry. */
+bool FakeCluster::Converge()
 {
-  cuts_.clear();
+  cutLinks_.clear();
   const std::uint64_t before =
     committed_.empty() ? 0 : committed_.rbegin()->first;
-  for (int round = 0; round < SettleRounds && failure_.empty(); ++round) {
+  for (int round = 0; round < ConvergeRounds && failure_.empty(); ++round) {
     time_ += absl::Milliseconds(10);
     for (FakeBox& box : boxes_) {
-      if (!box.up && !box.gone) {
+      if (!box.up && !box.removed) {
         Start(box);
       }
     }
@@ -513,7 +511,7 @@
       Propose();
     }
     CheckAll();
-    if (VotersHave(before + 2)) {
+    if (HaveVotersApplied(before + 2)) {
       return true;
     }
   }
--- a/Tests/Agreement/wgFakeCluster.h
+++ b/Tests/Agreement/wgFakeCluster.h
@@ -13,7 +13,7 @@
 
 namespace wg::test {
 
-/** \brief What a replica's disk holds: only what was synced. */
+/** \brief Synced contents of a replica's disk. */
 struct FakeDisk
 {
   std::uint64_t id = 0;
@@ -23,43 +23,43 @@
   wire::Snapshot snapshot;
 };
 
-/** \brief One box: a disk that lasts and a process that may not. */
+/** \brief A box: a persistent disk and a process that may crash. */
 struct FakeBox
 {
   std::string name;
   FakeDisk disk;
   Replica process;
-  std::uint64_t chain = 0; // hash of all that the process has applied
+  std::uint64_t chain = 0; // hash of all entries that the process has applied
   bool up = false;
-  bool gone = false; // for good
+  bool removed = false; // permanently
   double clockRate = 1.0;
 };
 
-/** \brief How many of each event a schedule made. */
+/** \brief Number of events of each kind in a schedule. */
 struct ScheduleCounts
 {
   int acknowledged = 0;
   int crashes = 0;
   int wipes = 0;
-  int gone = 0;
+  int removed = 0;
   int voterChanges = 0;
   int snapshots = 0;
   int elections = 0;
 };
 
 /** \class FakeCluster
- * \brief Drives replicas through one seeded schedule of crashes, restarts,
- * cuts, delays, doubled and reordered messages, lost disks and voter
- * changes, and checks after every step what must hold.
+ * \brief Runs replicas through one seeded schedule of crashes, restarts, cut
+ * links, delayed, duplicated and reordered messages, lost disks and voter
+ * changes, and checks the invariants after every step.
  */
 class FakeCluster
 {
 public:
-  /** \brief So many voters are wanted; the other boxes are spares, which hold
-   * the state for one seed in four.
+  /** \brief Creates a cluster with the target number of voters. The standbys
+   * join as learners for one seed in four.
    */
-  FakeCluster(std::uint64_t seed, std::size_t voters, std::size_t spares);
-  /** \brief Empty when all held; else what broke. */
+  FakeCluster(std::uint64_t seed, std::size_t voters, std::size_t standbys);
+  /** \brief Returns the first violated invariant, or an empty text. */
   std::string Run(int steps);
   const ScheduleCounts& Counts() const { return counts_; }
 
@@ -75,10 +75,11 @@
   void Start(FakeBox& box);
   void Crash(FakeBox& box);
   void Wipe(FakeBox& box);
-  void TakeAway(FakeBox& box);
-  bool HasSpare() const;
+  void RemoveBox(FakeBox& box);
+  bool HasStandby() const;
   std::vector<wire::VoterSet> PossibleVoterSets() const;
-  bool MayTakeAPlace(const FakeBox& box, const wire::VoterSet& voters) const;
+  bool MayReplaceLostVoter(const FakeBox& box,
+                           const wire::VoterSet& voters) const;
   bool MayWipe(const FakeBox& box) const;
   bool SurvivesLossOf(const wire::VoterSet& voters, std::uint64_t id) const;
   void Step();
@@ -86,14 +87,14 @@
   void Deliver(const wire::AgreementMessage& message);
   void Propose();
   void TickAll();
-  void AskToJoin(FakeBox& box);
-  void CarryOut(FakeBox& box);
+  void RequestToJoin(FakeBox& box);
+  void ExecuteActions(FakeBox& box);
   void WriteToDisk(FakeBox& box, const ReplicaActions& actions);
   void Apply(FakeBox& box);
   void NoteCommitted(FakeBox& box, const wire::LogEntry& entry);
   void CheckAll();
-  bool VotersHave(std::uint64_t index) const;
-  bool Settle();
+  bool HaveVotersApplied(std::uint64_t index) const;
+  bool Converge();
   std::string Describe() const;
   FakeBox* BoxOf(std::uint64_t id);
   bool Chance(double probability);
@@ -104,7 +105,7 @@
   std::size_t wanted_ = 0;
   bool spareLearns_ = false; // see RepairRules
   std::vector<wire::AgreementMessage> network_;
-  std::set<std::pair<std::string, std::string>> cuts_;
+  std::set<std::pair<std::string, std::string>> cutLinks_;
   std::map<std::uint64_t, Committed> committed_;
   wire::VoterSet committedVoters_;
   std::uint64_t committedVotersIndex_ = 0;
--- a/Tests/Agreement/wgRepairTest.cxx
+++ b/Tests/Agreement/wgRepairTest.cxx
@@ -32,11 +32,11 @@
 
 } // namespace
 
-TEST_CASE("of two replicas of one box the one that asked last is taken")
+TEST_CASE("of two replicas of one box the one with the newest request joins")
 {
   const absl::Duration now = absl::Seconds(10);
   wg::Replica leader = Leader(now);
-  // Box c lost its disk: replica 4 runs there, 3 asked some time before.
+  // Box c lost its disk: replica 4 runs there, 3 requested to join earlier.
   const std::vector<wg::JoiningReplica> joining = {
     { Voter(3, "c"), now - absl::Seconds(3) },
     { Voter(4, "c"), now - absl::Milliseconds(100) }
@@ -51,25 +51,25 @@
   leader.peers[4].match = 10;
   step = wg::NextRepairStep(leader, joining, {}, now);
   REQUIRE(step);
-  CHECK_FALSE(wg::IsVoter(*step, 3)); // its place is made
+  CHECK_FALSE(wg::IsVoter(*step, 3)); // removed first
   leader.voters = *step;
   step = wg::NextRepairStep(leader, joining, {}, now);
   REQUIRE(step);
-  CHECK(wg::IsVoter(*step, 4)); // and the lost one is not taken back
+  CHECK(wg::IsVoter(*step, 4)); // and replica 3 is not added again
   leader.voters = *step;
   CHECK_FALSE(wg::NextRepairStep(leader, joining, {}, now));
 }
 
-TEST_CASE("a spare takes the place of a voter that has long been silent")
+TEST_CASE("a standby replaces a voter that has long been unresponsive")
 {
   const absl::Duration now = absl::Seconds(100);
   wg::Replica leader = Leader(now);
   const std::vector<wg::JoiningReplica> joining = {
-    { Voter(7, "spare"), now - absl::Milliseconds(100) }
+    { Voter(7, "standby"), now - absl::Milliseconds(100) }
   };
   wg::RepairRules rules;
   CHECK_FALSE(wg::NextRepairStep(leader, joining, rules, now));
-  rules.spareAfter = absl::Seconds(3); // box c was heard 2 s ago
+  rules.spareAfter = absl::Seconds(3); // last contact with box c: 2 s ago
   CHECK_FALSE(wg::NextRepairStep(leader, joining, rules, now));
   rules.spareAfter = absl::Seconds(1);
   auto step = wg::NextRepairStep(leader, joining, rules, now);
@@ -78,7 +78,8 @@
   leader.voters = *step;
   leader.peers[7].ackedSendTime = now;
   leader.peers[7].match = 10;
-  // The silent one may yet live: it goes only when the spare has its vote.
+  // The unresponsive voter may still be running, and stays until the standby
+  // is a voter.
   step = wg::NextRepairStep(leader, joining, rules, now);
   REQUIRE(step);
   CHECK(wg::IsVoter(*step, 7));
@@ -91,7 +92,7 @@
   CHECK_FALSE(wg::NextRepairStep(leader, joining, rules, now));
 }
 
-TEST_CASE("an operator's word replaces a box that still answers")
+TEST_CASE("an operator's order replaces a box that is still responsive")
 {
   const absl::Duration now = absl::Seconds(100);
   const wg::Replica leader = Leader(now);
@@ -105,7 +106,7 @@
   CHECK_FALSE(wg::IsLearner(*step, 7));
 }
 
-TEST_CASE("a box that an operator gave up does not come back as a spare")
+TEST_CASE("a box that an operator declared lost does not rejoin as a standby")
 {
   const absl::Duration now = absl::Seconds(100);
   const wg::Replica leader = Leader(now);
@@ -116,18 +117,18 @@
     wg::NextRepairStep(leader, { { Voter(9, "old"), now } }, rules, now));
 }
 
-TEST_CASE("where spares learn, one is taken in beside all voters")
+TEST_CASE("a standby joins as a learner beside all voters if so configured")
 {
   const absl::Duration now = absl::Seconds(100);
   wg::Replica leader = Leader(now);
   const std::vector<wg::JoiningReplica> joining = {
-    { Voter(7, "spare"), now - absl::Milliseconds(100) },
-    { Voter(8, "given-up"), now - absl::Milliseconds(100) }
+    { Voter(7, "standby"), now - absl::Milliseconds(100) },
+    { Voter(8, "lost"), now - absl::Milliseconds(100) }
   };
   wg::RepairRules rules;
   rules.spareLearns = true;
   rules.spareAfter = absl::Seconds(60);
-  rules.replacement = { "given-up", "other" };
+  rules.replacement = { "lost", "other" };
   auto step = wg::NextRepairStep(leader, joining, rules, now);
   REQUIRE(step);
   REQUIRE(step->learners_size() == 1);
@@ -136,13 +137,13 @@
   leader.peers[7].ackedSendTime = now;
   leader.peers[7].match = 10;
   CHECK_FALSE(wg::NextRepairStep(leader, joining, rules, now)); // no vote
-  // Its disk is lost: the older replica of its box gives way.
+  // Its disk is lost: the new replica replaces the older one of its box.
   step =
-    wg::NextRepairStep(leader, { { Voter(9, "spare"), now } }, rules, now);
+    wg::NextRepairStep(leader, { { Voter(9, "standby"), now } }, rules, now);
   REQUIRE(step);
   REQUIRE(step->learners_size() == 1);
   CHECK(wg::IsLearner(*step, 9));
-  // It is gone for good.
+  // Once unresponsive for spareAfter, it is removed.
   const absl::Duration later = now + absl::Seconds(61);
   leader.peers[2].ackedSendTime = later;
   leader.peers[3].ackedSendTime = later;
--- a/Tests/Agreement/wgReplicationTest.cxx
+++ b/Tests/Agreement/wgReplicationTest.cxx
@@ -17,8 +17,8 @@
 constexpr absl::Duration Tick = absl::Milliseconds(15);
 constexpr std::size_t LargeEntry = 900U << 10U; // bytes
 
-/** Three voters; messages with large entries take longer than others, as they
- * do on a link that carries all of them side by side.
+/** Three voters; messages with large entries take longer than others, as on a
+ * link that multiplexes them.
  */
 struct Voters
 {
@@ -77,8 +77,8 @@
         Send(outgoing.message);
       }
     }
-    std::vector<OnItsWay> later;
-    for (OnItsWay& sent : network) {
+    std::vector<InTransit> later;
+    for (InTransit& sent : network) {
       if (sent.arrives > now) {
         later.push_back(std::move(sent));
         continue;
@@ -96,21 +96,21 @@
     }
     const bool isLarge = bytes >= LargeEntry;
     largeSent += isLarge ? 1 : 0;
-    if (isLarge && lose > 0) {
-      --lose;
+    if (isLarge && largeToLose > 0) {
+      --largeToLose;
       return;
     }
     if (message.to() == down || message.from() == down) {
       const std::uint64_t other = down == message.to() ? message.from() : 0;
-      if (other != 0) { // no connection, told at once
+      if (other != 0) { // no connection, reported at once
         wg::OnNotDelivered(replicas[other - 1], down, message.sent_us());
       }
       return;
     }
-    network.push_back({ message, isLarge ? now + largeTakes : now });
+    network.push_back({ message, isLarge ? now + largeDelay : now });
   }
 
-  struct OnItsWay
+  struct InTransit
   {
     wg::wire::AgreementMessage message;
     Elapsed arrives;
@@ -118,25 +118,24 @@
   std::mt19937_64 random{ 7 };
   Elapsed now = absl::Seconds(100);
   std::vector<Replica> replicas;
-  std::vector<OnItsWay> network;
-  absl::Duration largeTakes = absl::ZeroDuration();
-  int lose = 0;           // large messages that never arrive
+  std::vector<InTransit> network;
+  absl::Duration largeDelay = absl::ZeroDuration();
+  int largeToLose = 0;    // large messages that never arrive
   std::uint64_t down = 0; // the replica that can't be connected to
   int largeSent = 0;
 };
 
 } // namespace
 
-TEST_CASE("An entry that is on its way is not sent again")
+TEST_CASE("An entry in flight is not retransmitted")
 {
-  // After all boxes had lost power, a leader brought seven others up to date
-  // with some 4 MB of published documents each. It took an entry for lost
-  // after 100 ms, and each heartbeat that overtook one was refused and made
-  // it send the entry once more, up to twenty times a second to each. Its
-  // process went from 93 to 250 MB in four seconds while it sent 20 to 43 MB
-  // a second, was ended at its limit of 256 MB, and so was the next leader.
+  // Guards against a leader that retransmits entries still in flight. It did
+  // so after a fixed 100 ms and on each rejection of a heartbeat that had
+  // overtaken an entry, up to 20 times a second to each of seven replicas that
+  // lacked 4 MB each. It sent 20 to 43 MB/s, grew from 93 to 250 MB in 4 s and
+  // was killed at its limit of 256 MB, as was the next leader.
   Voters voters;
-  voters.largeTakes = absl::Milliseconds(400);
+  voters.largeDelay = absl::Milliseconds(400);
   Replica& leader = *voters.Leader();
   const auto index =
     wg::Propose(leader, std::string(LargeEntry, 'x'), voters.now);
@@ -150,10 +149,10 @@
   CHECK(voters.largeSent == 2); // one for each of the two others
 }
 
-TEST_CASE("An entry that was lost is sent again, more and more rarely")
+TEST_CASE("A lost entry is retransmitted with a growing timeout")
 {
   Voters voters;
-  voters.lose = 4; // two for each of the two others
+  voters.largeToLose = 4; // two for each of the two others
   Replica& leader = *voters.Leader();
   const auto index =
     wg::Propose(leader, std::string(LargeEntry, 'x'), voters.now);
@@ -166,8 +165,8 @@
   CHECK(voters.largeSent == 6);
 }
 
-TEST_CASE(
-  "A replica that is down is sent an entry once, and again when it is back")
+TEST_CASE("An entry for an unreachable replica is sent once, and again on "
+          "reconnection")
 {
   Voters voters;
   Replica& leader = *voters.Leader();
@@ -184,41 +183,39 @@
   CHECK(voters.replicas[back - 1].log.LastIndex() >= *index);
 }
 
-TEST_CASE("A replica that starts again applies what it knew to be committed")
+TEST_CASE("A restarted replica applies the entries that it saved as committed")
 {
-  // All boxes lost power. The control boxes were back within 0.4 s, and each
-  // had the document on its disk, but none applied it until a leader stood,
-  // 0.28 s after the last of them; the boxes that take requests had nothing
-  // to serve by until then:
-  //   "control: started" at 46.61, 46.70, 46.85, 46.94 and 47.01 s,
-  //   "replica: leader in term 5" and "document_in_force" at 47.29 s.
+  // Guards against a replica that applies nothing until a leader is elected.
+  // After a power loss of all boxes, five control boxes started within 0.4 s
+  // with the document on their disks, but applied it only with the election,
+  // 0.28 s after the last start; until then no request could be served.
   Voters voters;
   const auto index = wg::Propose(*voters.Leader(), "change", voters.now);
   REQUIRE(index);
   voters.Run(absl::Seconds(1));
   for (const Replica& before : voters.replicas) {
-    Replica again;
-    again.self = before.self;
-    again.cluster = before.cluster;
-    again.hard = before.hard; // as its disk has it
-    again.log = before.log;
-    again.snapshot = before.snapshot;
-    wg::StartReplica(again, voters.now, voters.random);
-    CHECK(again.commit >= *index);
-    while (const auto* entry = wg::NextCommitted(again)) {
-      wg::Applied(again, entry->index());
+    Replica restarted;
+    restarted.self = before.self;
+    restarted.cluster = before.cluster;
+    restarted.hard = before.hard; // as on its disk
+    restarted.log = before.log;
+    restarted.snapshot = before.snapshot;
+    wg::StartReplica(restarted, voters.now, voters.random);
+    CHECK(restarted.commit >= *index);
+    while (const auto* entry = wg::NextCommitted(restarted)) {
+      wg::Applied(restarted, entry->index());
     }
-    CHECK(again.applied >= *index);
+    CHECK(restarted.applied >= *index);
   }
 }
 
-TEST_CASE("What is known to be committed reaches no further than the log")
+TEST_CASE("The commit index after a restart does not exceed the log")
 {
   Voters voters;
   wg::Propose(*voters.Leader(), "change", voters.now);
   voters.Run(absl::Seconds(1));
-  Replica again = *voters.Leader();
-  again.log.TruncateFrom(again.log.LastIndex());
-  wg::StartReplica(again, voters.now, voters.random);
-  CHECK(again.commit == again.log.LastIndex());
+  Replica restarted = *voters.Leader();
+  restarted.log.TruncateFrom(restarted.log.LastIndex());
+  wg::StartReplica(restarted, voters.now, voters.random);
+  CHECK(restarted.commit == restarted.log.LastIndex());
 }
