--- a/Source/Agreement/wgReplica.h
+++ b/Source/Agreement/wgReplica.h
@@ -101,7 +101,7 @@
   ReplicaLog log;
   wire::Snapshot snapshot;
 
-  // Volatile state, rebuilt by StartReplica.
+  // Volatile state.
   ReplicaRole role = ReplicaRole::Follower;
   std::uint64_t leader = 0;
   std::uint64_t commit = 0;
