--- a/Source/Storage/wgReplicaStore.cxx
+++ b/Source/Storage/wgReplicaStore.cxx
@@ -32,7 +32,7 @@
   return absl::StrCat(folder, "/", name);
 }
 
-/** The log's header: version, generation, base index and base term. */
+/** Returns the log header: version, generation, base index, base term. */
 std::string HeaderPayload(std::uint64_t generation, const ReplicaLog& log)
 {
   return absl::StrCat(FormatVersion, " ", generation, " ", log.BaseIndex(),
@@ -57,30 +57,30 @@
          absl::SimpleAtoi(words[3], &header.baseTerm);
 }
 
-/** Applies one record of the log to the replica. */
-bool LoadRecord(const Record& record, Replica& replica)
+/** Applies a log record to the replica. Returns false if it is invalid. */
+bool ApplyRecord(const Record& record, Replica& replica)
 {
   if (record.type == RecordType::HardState) {
     return replica.hard.ParseFromString(record.payload);
   }
   if (record.type == RecordType::Truncate) {
     std::uint64_t from = 0;
-    const bool sound = absl::SimpleAtoi(record.payload, &from);
+    const bool valid = absl::SimpleAtoi(record.payload, &from);
     replica.log.TruncateFrom(from);
-    return sound;
+    return valid;
   }
   wire::LogEntry entry;
-  const bool sound = record.type == RecordType::Entry &&
+  const bool valid = record.type == RecordType::Entry &&
                      entry.ParseFromString(record.payload) &&
                      entry.index() == replica.log.LastIndex() + 1;
-  if (sound) {
+  if (valid) {
     replica.log.Append(std::move(entry));
   }
-  return sound;
+  return valid;
 }
 
-std::string RecordsOf(const ReplicaActions& actions,
-                      const wire::HardState& hard)
+std::string SerializeRecords(const ReplicaActions& actions,
+                             const wire::HardState& hard)
 {
   std::string bytes;
   if (actions.truncateFrom) {
@@ -117,18 +117,19 @@
                      !std::filesystem::exists(Path(folder, SnapshotName));
   Outcome<Done> loaded = Done{};
   if (!fresh) {
-    Replica found = replica;
-    loaded = store->Load(found);
+    Replica loadedReplica = replica;
+    loaded = store->Load(loadedReplica);
     if (Succeeded(loaded)) {
-      replica = std::move(found);
+      replica = std::move(loadedReplica);
       return store;
     }
     store->damage_ = Message(loaded);
-    store->SetAside();
+    store->RenameDamagedFiles();
   }
   store->state_ = fresh ? FolderState::Fresh : FolderState::Damaged;
-  if (auto made = store->StartAnew(newIdentity, replica); !Succeeded(made)) {
-    return Error{ Message(made) };
+  if (auto initialized = store->Initialize(newIdentity, replica);
+      !Succeeded(initialized)) {
+    return Error{ Message(initialized) };
   }
   return store;
 }
@@ -141,7 +142,7 @@
                                 O_RDWR | O_CREAT | O_CLOEXEC, FileMode));
   if (!lock_.IsOpen()) {
     return Error{ absl::StrCat("Cannot write in the data folder ", folder_,
-                               "; check that it exists and its rights.") };
+                               "; check its path and permissions.") };
   }
   if (::flock(lock_.Get(), LOCK_EX | LOCK_NB) != 0) {
     return Error{ absl::StrCat("Another process uses the data folder ",
@@ -168,10 +169,10 @@
     return Error{ Message(bytes) };
   }
   auto read = ReadRecords(Value(bytes));
-  const bool sound = Succeeded(read) && Value(read).records.size() == 1 &&
+  const bool valid = Succeeded(read) && Value(read).records.size() == 1 &&
                      Value(read).soundBytes == Value(bytes).size();
   wire::JoinRequest identity;
-  if (!sound || !identity.ParseFromString(Value(read).records[0].payload)) {
+  if (!valid || !identity.ParseFromString(Value(read).records[0].payload)) {
     return Error{ "The identity file is damaged." };
   }
   replica.self.set_id(identity.who().id());
@@ -189,9 +190,9 @@
     return Error{ Message(bytes) };
   }
   auto read = ReadRecords(Value(bytes));
-  const bool sound = Succeeded(read) && Value(read).records.size() == 1 &&
+  const bool valid = Succeeded(read) && Value(read).records.size() == 1 &&
                      Value(read).soundBytes == Value(bytes).size();
-  if (!sound ||
+  if (!valid ||
       !replica.snapshot.ParseFromString(Value(read).records[0].payload)) {
     return Error{ "The snapshot file is damaged." };
   }
@@ -212,13 +213,13 @@
   LogHeader header;
   if (records.empty() || records[0].type != RecordType::Header ||
       !ParseHeader(records[0].payload, header)) {
-    return Error{ "The log has no sound header of this format." };
+    return Error{ "The log has no valid header of a supported version." };
   }
   generation_ = header.generation;
   replica.log.Reset(header.baseIndex, header.baseTerm);
   for (std::size_t i = 1; i < records.size(); ++i) {
-    if (!LoadRecord(records[i], replica)) {
-      return Error{ absl::StrCat("Record ", i, " of the log is not sound.") };
+    if (!ApplyRecord(records[i], replica)) {
+      return Error{ absl::StrCat("Record ", i, " of the log is invalid.") };
     }
   }
   if (auto marked = CheckSyncedMark(Value(read).soundBytes);
@@ -227,10 +228,11 @@
   }
   const std::uint64_t snapshotIndex = replica.snapshot.index();
   if (header.baseIndex > snapshotIndex) {
-    return Error{ "The snapshot that the log starts from is missing." };
+    return Error{ "The snapshot is missing or older than the log's start." };
   }
   if (replica.log.TermAt(snapshotIndex) != replica.snapshot.term()) {
-    // The process ended between writing an installed snapshot and its log.
+    // The process ended after it had written a snapshot from the leader and
+    // before it rewrote the log, which doesn't match that snapshot.
     replica.log.Reset(snapshotIndex, replica.snapshot.term());
     return RewriteLog(replica);
   }
@@ -241,7 +243,7 @@
 {
   Outcome<std::string> text = ReadWholeFile(Path(folder_, SyncedName));
   if (!Succeeded(text)) {
-    return Done{}; // it lags behind the log and may be missing
+    return Done{}; // the mark isn't synced, so a crash may lose it
   }
   const std::vector<std::string> words =
     absl::StrSplit(Value(text), ' ', absl::SkipWhitespace());
@@ -252,13 +254,14 @@
     absl::SimpleAtoi(words[1], &synced) && generation == generation_;
   if (applies && soundBytes < synced) {
     return Error{ absl::StrCat("The log has ", soundBytes,
-                               " sound bytes where ", synced,
-                               " were synced.") };
+                               " valid bytes, but ", synced,
+                               " bytes were synced.") };
   }
   return Done{};
 }
 
-Outcome<Done> ReplicaStore::StartAnew(std::uint64_t identity, Replica& replica)
+Outcome<Done> ReplicaStore::Initialize(std::uint64_t identity,
+                                       Replica& replica)
 {
   replica.self.set_id(identity);
   replica.cluster.clear();
@@ -268,7 +271,7 @@
   return RewriteLog(replica);
 }
 
-void ReplicaStore::SetAside()
+void ReplicaStore::RenameDamagedFiles()
 {
   std::error_code ignored;
   for (const char* name :
@@ -292,34 +295,35 @@
                                   const ReplicaActions& actions)
 {
   if (broken_) {
-    return Error{ "An earlier sync of the log failed; the process must be "
-                  "started again before it can write." };
+    return Error{ "The log may be inconsistent after a failed write or sync; "
+                  "check its disk and restart the process." };
   }
   if (actions.install) {
     return SaveSnapshot(replica);
   }
-  const std::string bytes = RecordsOf(actions, replica.hard);
+  const std::string bytes = SerializeRecords(actions, replica.hard);
   std::size_t done = 0;
   while (done < bytes.size()) {
     const long wrote =
       files_.Write(log_.Get(), absl::string_view(bytes).substr(done));
     if (wrote <= 0) {
-      // Take back the part that was written: it must not look like a record.
+      // Remove the partial record: later records must not follow it, or the
+      // log would be read as damaged.
       const auto length = static_cast<off_t>(logBytes_);
       broken_ = ::ftruncate(log_.Get(), length) != 0;
       return Error{ absl::StrCat("Cannot write the log in ", folder_, ": ",
                                  std::strerror(errno),
-                                 "; free space on its disk.") };
+                                 "; check the free space of its disk.") };
     }
     done += static_cast<std::size_t>(wrote);
   }
   if (!files_.Sync(log_.Get())) {
-    broken_ = true; // what of it lasted can't be known
+    broken_ = true; // an unknown part of the records may be stored
     return Error{ absl::StrCat("Cannot sync the log in ", folder_,
-                               "; check its disk and start again.") };
+                               "; check its disk and restart the process.") };
   }
   logBytes_ += bytes.size();
-  NoteSynced();
+  WriteSyncedMark();
   return Done{};
 }
 
@@ -370,18 +374,19 @@
                                "; check its disk.") };
   }
   logBytes_ = length;
-  NoteSynced();
+  WriteSyncedMark();
   return Done{};
 }
 
-void ReplicaStore::NoteSynced()
+void ReplicaStore::WriteSyncedMark()
 {
   std::array<char, 48> text{};
   const int length =
     std::snprintf(text.data(), text.size(), "%20llu %20llu\n",
                   static_cast<unsigned long long>(generation_),
                   static_cast<unsigned long long>(logBytes_));
-  // Not synced: a mark that lags is still a lower bound.
+  // The fixed width makes each mark overwrite the previous one entirely. The
+  // mark isn't synced: an older mark is still a valid lower bound.
   [[maybe_unused]] const auto wrote = ::pwrite(
     syncedMark_.Get(), text.data(), static_cast<std::size_t>(length), 0);
 }
--- a/Source/Storage/wgReplicaStore.h
+++ b/Source/Storage/wgReplicaStore.h
@@ -11,45 +11,61 @@
 
 namespace wg {
 
-/** \brief How a data folder was found at the start. */
+/** \brief State of a data folder when the process opened it. */
 enum class FolderState
 {
-  Fresh,  // nothing in it: a new identity was made
-  Sound,  // the replica that it belongs to goes on
-  Damaged // what it held is set aside: a new identity was made
+  Fresh,  // no replica files: a new identity was created
+  Sound,  // all files valid: the stored replica was loaded
+  Damaged // files renamed to `*.damaged`: a new identity was created
 };
 
 /** \class ReplicaStore
- * \brief The files of one replica in its data folder.
+ * \brief Stores the durable state of one replica in its data folder.
  *
- * `log` holds entries and hard states in the order of their writing,
- * `snapshot` the state that the log starts from, `identity` the replica's
- * number and cluster, `synced` how much of the log is known to have lasted,
- * and `lock` keeps a second process out.
+ * The folder holds these files:
+ *  - `log`: entries, truncations and hard states in the order of writing
+ *  - `snapshot`: the newest snapshot; the log starts at or before its index
+ *  - `identity`: the replica's number and cluster
+ *  - `synced`: generation and length in bytes of the log at its last sync
+ *  - `lock`: locked by the process that uses the folder
  */
 class ReplicaStore
 {
 public:
-  /** \brief Opens the folder and fills the durable part of the replica.
-   * \param newIdentity taken as the replica's number if it needs a new one
+  /** \brief Opens the data folder and loads the durable state of a replica.
+   *
+   * Renames the files of a damaged folder and continues with a new identity.
+   * \param files used for writes and syncs, must outlive the store
+   * \param folder path of the data folder, created if missing
+   * \param newIdentity replica number to use if the folder is fresh or damaged
+   * \param replica receives the number, cluster, hard state, snapshot and log
+   * \return the store, or an error if the folder can't be locked or written
    */
   static Outcome<std::unique_ptr<ReplicaStore>> Open(FileOperations& files,
                                                      const std::string& folder,
                                                      std::uint64_t newIdentity,
                                                      Replica& replica);
 
+  /** \brief Returns the state of the folder when it was opened. */
   FolderState State() const { return state_; }
+  /** \brief Returns why the folder was found damaged; empty if it was not. */
   const std::string& Damage() const { return damage_; }
 
-  /** \brief Names the cluster that the replica belongs to, lastingly. */
+  /** \brief Writes and syncs the replica's number and cluster. */
   Outcome<Done> SetCluster(const Replica& replica);
 
-  /** \brief Writes and syncs all that the actions ask for. After an error
-   * nothing of it counts as written, and the same call may be tried again.
+  /** \brief Writes and syncs the log records or snapshot of the actions.
+   *
+   * After an error none of the actions count as stored, and the call may be
+   * repeated. If the log could not be synced or restored to its old length,
+   * every later call fails until the process is restarted.
+   * \param replica state of the replica after the step that gave the actions
+   * \param actions records to write, or a snapshot to install
+   * \return an error if the disk is full or faulty
    */
   Outcome<Done> Write(const Replica& replica, const ReplicaActions& actions);
 
-  /** \brief Lays down the replica's snapshot and the log that follows it. */
+  /** \brief Replaces the snapshot file, then the log file, and syncs both. */
   Outcome<Done> SaveSnapshot(const Replica& replica);
 
 private:
@@ -60,11 +76,11 @@
   Outcome<Done> LoadSnapshot(Replica& replica);
   Outcome<Done> LoadLog(Replica& replica);
   Outcome<Done> CheckSyncedMark(std::size_t soundBytes);
-  Outcome<Done> StartAnew(std::uint64_t identity, Replica& replica);
-  void SetAside();
+  Outcome<Done> Initialize(std::uint64_t identity, Replica& replica);
+  void RenameDamagedFiles();
   Outcome<Done> RewriteLog(const Replica& replica);
   Outcome<Done> OpenLog(std::size_t length);
-  void NoteSynced();
+  void WriteSyncedMark();
 
   FileOperations& files_;
   std::string folder_;
@@ -73,9 +89,9 @@
   FileDescriptor lock_;
   FileDescriptor log_;
   FileDescriptor syncedMark_;
-  std::uint64_t generation_ = 0;
-  std::size_t logBytes_ = 0;
-  bool broken_ = false;
+  std::uint64_t generation_ = 0; // incremented by each rewrite of the log
+  std::size_t logBytes_ = 0;     // length of the log at its last sync
+  bool broken_ = false;          // the log's stored content is unknown
 };
 
 } // namespace wg
