--- a/Source/Storage/wgFileOperations.cxx
+++ b/Source/Storage/wgFileOperations.cxx
@@ -29,9 +29,9 @@
   bool Sync(int fd) override { return ::fdatasync(fd) == 0; }
 };
 
-Error FileError(absl::string_view what, const std::string& path)
+Error FileError(absl::string_view action, const std::string& path)
 {
-  return Error{ absl::StrCat("Cannot ", what, " ", path, ": ",
+  return Error{ absl::StrCat("Cannot ", action, " ", path, ": ",
                              std::strerror(errno),
                              "; check the data folder's disk.") };
 }
@@ -72,12 +72,12 @@
     return FileError("write", temporary);
   }
   if (std::rename(temporary.c_str(), path.c_str()) != 0) {
-    return FileError("put in place", path);
+    return FileError("replace the file", path);
   }
   FileDescriptor directory(
     ::open(folder.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
   if (!directory.IsOpen() || ::fsync(directory.Get()) != 0) {
-    return FileError("sync the folder of", path);
+    return FileError("sync the folder that holds", path);
   }
   return Done{};
 }
--- a/Source/Storage/wgRecord.cxx
+++ b/Source/Storage/wgRecord.cxx
@@ -13,10 +13,10 @@
 
 constexpr std::uint32_t Magic = 0x31526757; // "WgR1"
 constexpr std::size_t HeaderBytes = 4 + 1 + 4 + 8;
-constexpr std::size_t MaxPayload = 1U << 30U;
+constexpr std::size_t MaxPayloadBytes = 1U << 30U;
 
 template <class T>
-void Put(T value, std::string& bytes)
+void AppendLittleEndian(T value, std::string& bytes)
 {
   for (std::size_t i = 0; i < sizeof(T); ++i) {
     bytes.push_back(static_cast<char>((value >> (8 * i)) & 0xFF));
@@ -24,7 +24,7 @@
 }
 
 template <class T>
-T Get(absl::string_view bytes, std::size_t at)
+T ReadLittleEndian(absl::string_view bytes, std::size_t at)
 {
   T value = 0;
   for (std::size_t i = 0; i < sizeof(T); ++i) {
@@ -40,23 +40,24 @@
                static_cast<std::uint64_t>(type));
 }
 
-/** The size of the sound record at an offset, or nothing. */
+/** Returns the size in bytes of the valid record at an offset, if any. */
 std::optional<std::size_t> SoundRecordAt(absl::string_view bytes,
                                          std::size_t at)
 {
   if (bytes.size() - at < HeaderBytes ||
-      Get<std::uint32_t>(bytes, at) != Magic) {
+      ReadLittleEndian<std::uint32_t>(bytes, at) != Magic) {
     return std::nullopt;
   }
   const auto type = static_cast<RecordType>(bytes[at + 4]);
-  const std::size_t length = Get<std::uint32_t>(bytes, at + 5);
+  const std::size_t length = ReadLittleEndian<std::uint32_t>(bytes, at + 5);
   const bool fits =
-    length <= MaxPayload && bytes.size() - at - HeaderBytes >= length;
+    length <= MaxPayloadBytes && bytes.size() - at - HeaderBytes >= length;
   if (!fits) {
     return std::nullopt;
   }
   const absl::string_view payload = bytes.substr(at + HeaderBytes, length);
-  if (Get<std::uint64_t>(bytes, at + 9) != Checksum(type, payload)) {
+  if (ReadLittleEndian<std::uint64_t>(bytes, at + 9) !=
+      Checksum(type, payload)) {
     return std::nullopt;
   }
   return HeaderBytes + length;
@@ -77,10 +78,10 @@
 void AppendRecord(RecordType type, absl::string_view payload,
                   std::string& bytes)
 {
-  Put(Magic, bytes);
+  AppendLittleEndian(Magic, bytes);
   bytes.push_back(static_cast<char>(type));
-  Put(static_cast<std::uint32_t>(payload.size()), bytes);
-  Put(Checksum(type, payload), bytes);
+  AppendLittleEndian(static_cast<std::uint32_t>(payload.size()), bytes);
+  AppendLittleEndian(Checksum(type, payload), bytes);
   bytes.append(payload.data(), payload.size());
 }
 
@@ -101,7 +102,7 @@
   if (read.soundBytes < bytes.size() &&
       AnySoundRecordAfter(bytes, read.soundBytes)) {
     return Error{ absl::StrCat("The record at byte ", read.soundBytes,
-                               " is damaged, and sound ones follow it.") };
+                               " is damaged, but valid records follow it.") };
   }
   return read;
 }
--- a/Source/Storage/wgRecord.h
+++ b/Source/Storage/wgRecord.h
@@ -11,6 +11,7 @@
 
 namespace wg {
 
+/** \brief Type of a record; the values are stored in files. */
 enum class RecordType : std::uint8_t
 {
   Header = 1,
@@ -22,26 +23,33 @@
   Endpoints = 7
 };
 
-/** \brief One checksummed piece of a file. */
+/** \brief A unit of a file with its own checksum. */
 struct Record
 {
   RecordType type = RecordType::Header;
   std::string payload;
 };
 
-/** \brief Appends a record: magic, type, length, xxh64 checksum, payload. */
+/** \brief Appends a record to a buffer.
+ *
+ * A record consists of magic, type, length, XXH64 checksum and payload;
+ * numbers are little-endian.
+ */
 void AppendRecord(RecordType type, absl::string_view payload,
                   std::string& bytes);
 
-/** \brief The records of a file, and where the sound part of it ends. */
+/** \brief Records of a file and the length of its valid part in bytes. */
 struct RecordsRead
 {
   std::vector<Record> records;
   std::size_t soundBytes = 0;
 };
 
-/** \brief Reads all records. What follows the last sound one is taken as a
- * torn tail, unless a sound record follows it: that is damage, an error.
+/** \brief Reads all records of a file.
+ *
+ * Bytes after the last valid record are ignored as an interrupted write.
+ * \return the valid records, or an error if a valid record follows invalid
+ * bytes: the file is damaged then
  */
 Outcome<RecordsRead> ReadRecords(absl::string_view bytes);
 
--- a/Tests/Storage/wgStorageTest.cxx
+++ b/Tests/Storage/wgStorageTest.cxx
@@ -22,7 +22,7 @@
   MAKE_MOCK1(Sync, bool(int), override);
 };
 
-/** A data folder that goes with the test. */
+/** Creates a data folder and removes it at the end of the test. */
 struct TemporaryFolder
 {
   std::string path;
@@ -50,7 +50,7 @@
   return actions;
 }
 
-/** Opens, appends `count` entries, and closes. */
+/** Opens a store, appends `count` entries and closes it. */
 void WriteEntries(const std::string& folder, std::uint64_t count)
 {
   wg::Replica replica;
@@ -88,7 +88,7 @@
 
 } // namespace
 
-TEST_CASE("what was synced is there again")
+TEST_CASE("synced entries are loaded after a restart")
 {
   TemporaryFolder folder;
   WriteEntries(folder.path, 20);
@@ -100,7 +100,7 @@
   CHECK(replica.log.At(20).change() == "change 20");
 }
 
-TEST_CASE("a torn tail is cut off and the rest stays")
+TEST_CASE("a partial record at the log's end is removed, all others stay")
 {
   TemporaryFolder folder;
   WriteEntries(folder.path, 5);
@@ -112,7 +112,7 @@
   CHECK(Reopen(folder.path, wg::FolderState::Sound).log.LastIndex() == 6);
 }
 
-TEST_CASE("damage in the middle makes a new identity")
+TEST_CASE("a damaged record amid the log gives a new identity")
 {
   TemporaryFolder folder;
   WriteEntries(folder.path, 20);
@@ -125,7 +125,7 @@
   CHECK(replica.hard.vote() == 0);
 }
 
-TEST_CASE("damage in the middle is seen without the synced mark too")
+TEST_CASE("a damaged record amid the log is detected without the synced mark")
 {
   TemporaryFolder folder;
   WriteEntries(folder.path, 20);
@@ -135,7 +135,7 @@
   CHECK(Reopen(folder.path, wg::FolderState::Damaged).self.id() == 99);
 }
 
-TEST_CASE("a log cut short of what was synced makes a new identity")
+TEST_CASE("a log shorter than its synced length gives a new identity")
 {
   TemporaryFolder folder;
   WriteEntries(folder.path, 20);
@@ -144,7 +144,7 @@
   CHECK(Reopen(folder.path, wg::FolderState::Damaged).self.id() == 99);
 }
 
-TEST_CASE("a missing file makes a new identity")
+TEST_CASE("a missing log or identity file gives a new identity")
 {
   for (const char* name : { "log", "identity" }) {
     TemporaryFolder folder;
@@ -154,7 +154,7 @@
   }
 }
 
-TEST_CASE("a missing snapshot that the log starts from makes a new identity")
+TEST_CASE("a log that starts after a missing snapshot gives a new identity")
 {
   TemporaryFolder folder;
   WriteEntries(folder.path, 30);
@@ -174,7 +174,7 @@
   CHECK(Reopen(folder.path, wg::FolderState::Damaged).self.id() == 99);
 }
 
-TEST_CASE("an emptied folder makes a fresh identity")
+TEST_CASE("an emptied folder gives a new identity")
 {
   TemporaryFolder folder;
   WriteEntries(folder.path, 3);
@@ -182,7 +182,7 @@
   CHECK(Reopen(folder.path, wg::FolderState::Fresh).self.id() == 99);
 }
 
-TEST_CASE("a second process is kept out of the folder")
+TEST_CASE("a locked data folder can not be opened again")
 {
   TemporaryFolder folder;
   wg::Replica first;
@@ -190,13 +190,13 @@
     wg::ReplicaStore::Open(wg::SystemFileOperations(), folder.path, 1, first);
   REQUIRE(wg::Succeeded(store));
   wg::Replica second;
-  auto refused =
+  auto reopened =
     wg::ReplicaStore::Open(wg::SystemFileOperations(), folder.path, 2, second);
-  REQUIRE_FALSE(wg::Succeeded(refused));
-  CHECK_THAT(wg::Message(refused), Catch::Contains("Another process"));
+  REQUIRE_FALSE(wg::Succeeded(reopened));
+  CHECK_THAT(wg::Message(reopened), Catch::Contains("Another process"));
 }
 
-TEST_CASE("a full disk refuses the write and loses nothing")
+TEST_CASE("a write that failed on a full disk can be repeated")
 {
   TemporaryFolder folder;
   WriteEntries(folder.path, 4);
@@ -221,7 +221,7 @@
   CHECK(Reopen(folder.path, wg::FolderState::Sound).log.LastIndex() == 5);
 }
 
-TEST_CASE("after a failed sync nothing more is written")
+TEST_CASE("writes fail after a failed sync")
 {
   TemporaryFolder folder;
   WriteEntries(folder.path, 1);
@@ -244,7 +244,7 @@
   CHECK_FALSE(wg::Succeeded(store->Write(replica, actions)));
 }
 
-TEST_CASE("records of any damage are read without harm")
+TEST_CASE("a damaged byte or a truncation of records is detected")
 {
   std::string bytes;
   for (int i = 0; i < 4; ++i) {
@@ -255,11 +255,12 @@
     std::string damaged = bytes;
     damaged[at] = static_cast<char>(damaged[at] ^ 0x21);
     const auto read = wg::ReadRecords(damaged);
-    const bool noticed =
+    const bool detected =
       !wg::Succeeded(read) || wg::Value(read).soundBytes < bytes.size();
-    CHECK(noticed);
-    const auto cut = wg::ReadRecords(absl::string_view(bytes).substr(0, at));
-    REQUIRE(wg::Succeeded(cut));
-    CHECK(wg::Value(cut).soundBytes <= at);
+    CHECK(detected);
+    const auto truncated =
+      wg::ReadRecords(absl::string_view(bytes).substr(0, at));
+    REQUIRE(wg::Succeeded(truncated));
+    CHECK(wg::Value(truncated).soundBytes <= at);
   }
 }
