--- a/Source/Membership/wgMembership.cxx
+++ b/Source/Membership/wgMembership.cxx
@@ -9,10 +9,10 @@
 namespace wg {
 namespace {
 
-/** Moves a random choice of `count` items to the front. */
+/** Keeps `count` random items and drops the others. */
 template <class Item>
-void ChooseRandom(std::vector<Item>& items, std::size_t count,
-                  absl::BitGenRef random)
+void KeepRandom(std::vector<Item>& items, std::size_t count,
+                absl::BitGenRef random)
 {
   for (std::size_t i = 0; i < std::min(count, items.size()); ++i) {
     const auto other = absl::Uniform<std::size_t>(random, i, items.size());
@@ -21,6 +21,7 @@
   items.resize(std::min(count, items.size()));
 }
 
+/** Returns whether `a` is a newer state than `b` of the same box. */
 bool IsNewer(const wire::Member& a, const wire::Member& b)
 {
   if (a.incarnation() != b.incarnation()) {
@@ -29,29 +30,32 @@
   return a.beat() > b.beat();
 }
 
-void ForgetOld(Membership& membership, Elapsed now)
+void RemoveExpired(Membership& membership, Elapsed now)
 {
   for (auto it = membership.others.begin(); it != membership.others.end();) {
-    const bool old = now - it->second.heard > membership.timing.forgetAfter;
-    it = old ? membership.others.erase(it) : std::next(it);
+    const bool expired =
+      now - it->second.heard > membership.timing.removeAfter;
+    it = expired ? membership.others.erase(it) : std::next(it);
   }
 }
 
-/** Ourselves first, then the members that were heard of last. */
+/** Returns a message with this box and the members with the most recently
+ * received heartbeats, as many as fit.
+ */
 wire::Gossip MakeGossip(const Membership& membership)
 {
-  std::vector<const KnownMember*> newest;
+  std::vector<const KnownMember*> byHeartbeat;
   for (const auto& [box, known] : membership.others) {
-    newest.push_back(&known);
+    byHeartbeat.push_back(&known);
   }
-  std::sort(newest.begin(), newest.end(),
+  std::sort(byHeartbeat.begin(), byHeartbeat.end(),
             [](const KnownMember* a, const KnownMember* b) {
               return a->heard > b->heard;
             });
   wire::Gossip gossip;
   *gossip.add_members() = membership.self;
   std::size_t bytes = membership.self.ByteSizeLong();
-  for (const KnownMember* known : newest) {
+  for (const KnownMember* known : byHeartbeat) {
     const auto size = static_cast<std::size_t>(gossip.members_size());
     bytes += known->member.ByteSizeLong();
     const bool full = size >= membership.timing.maxMembers ||
@@ -64,27 +68,30 @@
   return gossip;
 }
 
+/** Returns the addresses of `fanout` random reachable boxes and of one random
+ * seed that is not reachable, if any.
+ */
 std::vector<std::string> ChooseTargets(const Membership& membership,
                                        Elapsed now, absl::BitGenRef random)
 {
   std::vector<std::string> targets;
-  std::set<std::string> alive;
+  std::set<std::string> reachable;
   for (const auto& [box, member] : membership.others) {
     if (IsAlive(membership, member, now)) {
       targets.push_back(member.member.address());
-      alive.insert(member.member.address());
+      reachable.insert(member.member.address());
     }
   }
-  ChooseRandom(targets, membership.timing.fanout, random);
-  // A seed that is silent may have come back: ask one of them each time.
-  std::vector<std::string> silent;
+  KeepRandom(targets, membership.timing.fanout, random);
+  // An unreachable seed may have been restarted, or its link restored.
+  std::vector<std::string> unreachable;
   for (const std::string& seed : membership.seeds) {
-    if (alive.count(seed) == 0 && seed != membership.self.address()) {
-      silent.push_back(seed);
+    if (reachable.count(seed) == 0 && seed != membership.self.address()) {
+      unreachable.push_back(seed);
     }
   }
-  ChooseRandom(silent, 1, random);
-  targets.insert(targets.end(), silent.begin(), silent.end());
+  KeepRandom(unreachable, 1, random);
+  targets.insert(targets.end(), unreachable.begin(), unreachable.end());
   return targets;
 }
 
@@ -92,14 +99,14 @@
 
 void SetOwnDemands(Membership& membership, std::vector<wire::Demand> demands)
 {
-  const auto most = static_cast<std::size_t>(membership.timing.maxDemands);
-  if (demands.size() > most) {
+  const auto maxCount = static_cast<std::size_t>(membership.timing.maxDemands);
+  if (demands.size() > maxCount) {
     std::partial_sort(
       demands.begin(), demands.begin() + membership.timing.maxDemands,
       demands.end(), [](const wire::Demand& a, const wire::Demand& b) {
         return a.running() + a.waiting() > b.running() + b.waiting();
       });
-    demands.resize(most);
+    demands.resize(maxCount);
   }
   *membership.self.mutable_demands() = { demands.begin(), demands.end() };
 }
@@ -108,7 +115,7 @@
                                       absl::BitGenRef random)
 {
   membership.self.set_beat(membership.self.beat() + 1);
-  ForgetOld(membership, now);
+  RemoveExpired(membership, now);
   const wire::Gossip gossip = MakeGossip(membership);
   std::vector<GossipMessage> messages;
   for (std::string& target : ChooseTargets(membership, now, random)) {
@@ -141,13 +148,13 @@
 std::vector<const KnownMember*> AliveMembers(const Membership& membership,
                                              Elapsed now)
 {
-  std::vector<const KnownMember*> alive;
+  std::vector<const KnownMember*> reachable;
   for (const auto& [box, known] : membership.others) {
     if (IsAlive(membership, known, now) && !known.member.leaving()) {
-      alive.push_back(&known);
+      reachable.push_back(&known);
     }
   }
-  return alive;
+  return reachable;
 }
 
 } // namespace wg
--- a/Source/Membership/wgMembership.h
+++ b/Source/Membership/wgMembership.h
@@ -14,62 +14,73 @@
 
 namespace wg {
 
-/** \brief The periods and bounds of the gossip between entry boxes. */
+/** \brief Periods and limits of the gossip between entry boxes. */
 struct GossipTiming
 {
   absl::Duration period = absl::Milliseconds(250);
-  absl::Duration suspectAfter = absl::Milliseconds(1500);
-  absl::Duration forgetAfter = absl::Minutes(10);
-  std::size_t fanout = 3;       // messages a period, whatever the size
-  std::size_t maxMembers = 16;  // members in one message
-  std::size_t maxBytes = 24000; // of one message: it must fit a datagram
-  int maxDemands = 400;         // that one box tells, the largest first
+  absl::Duration suspectAfter = absl::Milliseconds(1500); // without heartbeat
+  absl::Duration removeAfter = absl::Minutes(10);         // without heartbeat
+  std::size_t fanout = 3;       // messages per period, for any cluster size
+  std::size_t maxMembers = 16;  // per message
+  std::size_t maxBytes = 24000; // per message, which must fit a datagram
+  int maxDemands = 400;         // per box; the largest demands are kept
 };
 
-/** \brief What is known of one entry box, and since when. */
+/** \brief Newest known state of another entry box. */
 struct KnownMember
 {
   wire::Member member;
-  Elapsed heard; // when its newest beat reached us
+  Elapsed heard; // time at which its newest heartbeat was received
 };
 
-/** \brief One entry box's view of all of them. */
+/** \brief One entry box's view of all entry boxes. */
 struct Membership
 {
   GossipTiming timing;
   wire::Member self;
-  std::map<std::string, KnownMember> others; // by box
-  std::vector<std::string> seeds;            // addresses from the settings
+  std::map<std::string, KnownMember> others; // by name of the box
+  std::vector<std::string> seeds;            // addresses from settings
 };
 
-/** \brief A message, and the address that it goes to. */
+/** \brief A gossip message and the address to send it to. */
 struct GossipMessage
 {
   std::string address;
   wire::Gossip gossip;
 };
 
-/** \brief Sets what our own box asks for, the largest demands if there are
- * too many to tell.
+/** \brief Sets the demands of this box.
+ *
+ * Keeps the largest ones by running and waiting requests if there are more
+ * than `maxDemands`.
  */
 void SetOwnDemands(Membership& membership, std::vector<wire::Demand> demands);
 
-/** \brief Counts one more beat of our own and says what to send. */
+/** \brief Increments this box's heartbeat and returns the messages to send.
+ *
+ * To be called once per period. Also removes the members whose newest
+ * heartbeat is older than `removeAfter`.
+ * \param random source of the random choice of targets
+ */
 std::vector<GossipMessage> NextGossip(Membership& membership, Elapsed now,
                                       absl::BitGenRef random);
 
-/** \brief Takes a message in. Of two facts the one with the higher
- * incarnation wins, then the one with the later beat; so a box that was
- * restarted is never taken for its former self.
+/** \brief Merges a received message into the view.
+ *
+ * Of two states of a box the one with the higher incarnation wins, then the
+ * one with the higher heartbeat number. So the state from before a restart
+ * never replaces a newer one.
  */
 void MergeGossip(Membership& membership, const wire::Gossip& gossip,
                  Elapsed now);
 
-/** \brief Whether a member's beats still come. */
+/** \brief Returns whether a member's newest heartbeat was received within
+ * `suspectAfter`.
+ */
 bool IsAlive(const Membership& membership, const KnownMember& member,
              Elapsed now);
 
-/** \brief The other boxes whose beats come and that are not leaving. */
+/** \brief Returns the other boxes that are reachable and not leaving. */
 std::vector<const KnownMember*> AliveMembers(const Membership& membership,
                                              Elapsed now);
 
--- a/Tests/Membership/wgMembershipTest.cxx
+++ b/Tests/Membership/wgMembershipTest.cxx
@@ -7,7 +7,8 @@
 
 namespace {
 
-wg::Membership Box(const std::string& name, std::uint64_t incarnation = 1)
+wg::Membership MakeMembership(const std::string& name,
+                              std::uint64_t incarnation = 1)
 {
   wg::Membership membership;
   membership.self.set_box(name);
@@ -16,8 +17,8 @@
   return membership;
 }
 
-wg::wire::Gossip About(const std::string& box, std::uint64_t incarnation,
-                       std::uint64_t beat)
+wg::wire::Gossip MakeGossip(const std::string& box, std::uint64_t incarnation,
+                            std::uint64_t beat)
 {
   wg::wire::Gossip gossip;
   wg::wire::Member& member = *gossip.add_members();
@@ -30,43 +31,43 @@
 
 } // namespace
 
-TEST_CASE("a box whose beats stop is suspected, and lives when they come")
+TEST_CASE("a box without heartbeats is unreachable until a new one comes")
 {
-  wg::Membership membership = Box("1");
-  wg::MergeGossip(membership, About("2", 1, 1), absl::Seconds(1));
+  wg::Membership membership = MakeMembership("1");
+  wg::MergeGossip(membership, MakeGossip("2", 1, 1), absl::Seconds(1));
   CHECK(wg::AliveMembers(membership, absl::Seconds(2)).size() == 1);
   CHECK(wg::AliveMembers(membership, absl::Seconds(4)).empty());
-  wg::MergeGossip(membership, About("2", 1, 1), absl::Seconds(4));
-  CHECK(wg::AliveMembers(membership, absl::Seconds(4)).empty()); // old news
-  wg::MergeGossip(membership, About("2", 1, 2), absl::Seconds(4));
+  wg::MergeGossip(membership, MakeGossip("2", 1, 1), absl::Seconds(4));
+  CHECK(wg::AliveMembers(membership, absl::Seconds(4)).empty()); // not newer
+  wg::MergeGossip(membership, MakeGossip("2", 1, 2), absl::Seconds(4));
   CHECK(wg::AliveMembers(membership, absl::Seconds(5)).size() == 1);
 }
 
-TEST_CASE("the dead do not return as their former selves")
+TEST_CASE("a state of an earlier incarnation is ignored")
 {
-  wg::Membership membership = Box("1");
-  wg::MergeGossip(membership, About("2", 5, 1), absl::Seconds(1));
-  wg::MergeGossip(membership, About("2", 4, 900), absl::Seconds(3));
+  wg::Membership membership = MakeMembership("1");
+  wg::MergeGossip(membership, MakeGossip("2", 5, 1), absl::Seconds(1));
+  wg::MergeGossip(membership, MakeGossip("2", 4, 900), absl::Seconds(3));
   CHECK(membership.others["2"].member.incarnation() == 5);
   CHECK(wg::AliveMembers(membership, absl::Seconds(3)).empty());
 }
 
-TEST_CASE("a leaving box is not counted among the living")
+TEST_CASE("a leaving box is not among the reachable members")
 {
-  wg::Membership membership = Box("1");
-  wg::wire::Gossip gossip = About("2", 1, 1);
+  wg::Membership membership = MakeMembership("1");
+  wg::wire::Gossip gossip = MakeGossip("2", 1, 1);
   gossip.mutable_members(0)->set_leaving(true);
   wg::MergeGossip(membership, gossip, absl::Seconds(1));
   CHECK(wg::AliveMembers(membership, absl::Seconds(1)).empty());
 }
 
-TEST_CASE("messages a period do not grow with the number of boxes")
+TEST_CASE("the number of messages per period is the same for any cluster size")
 {
   std::mt19937_64 random(3);
   for (const int boxes : { 9, 100, 1000 }) {
-    wg::Membership membership = Box("0");
+    wg::Membership membership = MakeMembership("0");
     for (int i = 1; i < boxes; ++i) {
-      wg::MergeGossip(membership, About(std::to_string(i), 1, 1),
+      wg::MergeGossip(membership, MakeGossip(std::to_string(i), 1, 1),
                       absl::Seconds(1));
     }
     const auto messages = wg::NextGossip(membership, absl::Seconds(1), random);
@@ -75,10 +76,10 @@
   }
 }
 
-TEST_CASE("a message fits a datagram whatever is asked")
+TEST_CASE("a message fits a datagram for any number of demands")
 {
   std::mt19937_64 random(4);
-  wg::Membership membership = Box("0");
+  wg::Membership membership = MakeMembership("0");
   std::vector<wg::wire::Demand> demands(10000);
   for (std::size_t i = 0; i < demands.size(); ++i) {
     demands[i].set_group("generation");
@@ -87,7 +88,7 @@
   }
   wg::SetOwnDemands(membership, demands);
   for (int i = 1; i < 30; ++i) {
-    wg::wire::Gossip gossip = About(std::to_string(i), 1, 1);
+    wg::wire::Gossip gossip = MakeGossip(std::to_string(i), 1, 1);
     *gossip.mutable_members(0)->mutable_demands() = membership.self.demands();
     wg::MergeGossip(membership, gossip, absl::Seconds(1));
   }
@@ -97,20 +98,20 @@
   CHECK(membership.self.demands(0).waiting() == 9999);
 }
 
-TEST_CASE("nine boxes learn of one another from one seed, and of a cut")
+TEST_CASE("nine boxes find one another by one seed and detect a partition")
 {
   std::mt19937_64 random(5);
   std::vector<wg::Membership> boxes;
   for (int i = 0; i < 9; ++i) {
-    boxes.push_back(Box(std::to_string(i)));
+    boxes.push_back(MakeMembership(std::to_string(i)));
     boxes.back().seeds = { "127.0.0.1:0" };
   }
-  const auto round = [&](absl::Duration now, bool cut) {
+  const auto round = [&](absl::Duration now, bool partitioned) {
     for (std::size_t from = 0; from < boxes.size(); ++from) {
       for (const auto& message : wg::NextGossip(boxes[from], now, random)) {
         const std::size_t to = message.address.back() - '0';
         const bool crosses = (from < 3) != (to < 3);
-        if (!cut || !crosses) {
+        if (!partitioned || !crosses) {
           wg::MergeGossip(boxes[to], message.gossip, now);
         }
       }
