--- a/Tests/Policy/wgPolicyShapes.cxx
+++ b/Tests/Policy/wgPolicyShapes.cxx
@@ -57,11 +57,13 @@
     for (const ShapePipeline& pipeline : shape.pipelines) {
       const auto uses =
         std::count(pipeline.stages.begin(), pipeline.stages.end(), g);
-      visits += pipeline.share * static_cast<double>(uses);
+      visits += pipeline.fraction * static_cast<double>(uses);
     }
     const ShapeGroup& group = shape.groups[g];
-    const double served = group.endpoints * group.slots / group.meanSeconds;
-    capacity = visits > 0 ? std::min(capacity, served / visits) : capacity;
+    const double groupCapacity =
+      group.endpoints * group.slots / group.meanSeconds;
+    capacity =
+      visits > 0 ? std::min(capacity, groupCapacity / visits) : capacity;
   }
   return capacity;
 }
--- a/Tests/Policy/wgPolicySimulation.cxx
+++ b/Tests/Policy/wgPolicySimulation.cxx
@@ -18,23 +18,23 @@
 constexpr int Halls = 3;
 constexpr int EntriesPerHall = 3;
 constexpr int Entries = Halls * EntriesPerHall;
-constexpr double GossipSeconds = 0.25;
-constexpr double ReportSeconds = 0.5;
+constexpr double GossipPeriodSeconds = 0.25;
+constexpr double ReportPeriodSeconds = 0.5;
 constexpr double ConnectTimeoutSeconds = 0.5;
 constexpr double SlowFactor = 5.0;
 constexpr double FloodFactor = 20.0;
-constexpr int MaxTries = 3;
+constexpr int MaxAttempts = 3;
 
-/** One endpoint's engine: a batch with a queue behind it. */
+/** Engine of an endpoint: a batch of `slots` attempts and a FIFO queue. */
 struct Engine
 {
   int group = 0;
   int hall = 0;
   int slots = 1;
-  double slowness = 1.0;
-  bool dead = false;
+  double slowdown = 1.0;
+  bool down = false;
   int running = 0;
-  std::deque<int> waiting; // attempts
+  std::deque<int> waiting; // indices of attempts
 };
 
 struct Request
@@ -46,26 +46,26 @@
   double deadline = 0.0;
   std::vector<double> work; // seconds in a full batch, by stage
   std::size_t stage = 0;
-  int triesAtStage = 0;
-  std::size_t countedFrom = 0; // stages from here on are counted as coming
+  int attemptsAtStage = 0;
+  std::size_t firstUpcoming = 0; // first stage still counted as upcoming
   bool admitted = false;
   bool done = false;
   double usedSeconds = 0.0;
   RequestAttempts attempts;
 };
 
-/** One try of a stage at an engine. */
+/** An attempt of a stage at an engine. */
 struct Attempt
 {
   int request = 0;
   Grant grant;
   AttemptId id;
   int engine = 0;
-  double started = -1.0;
+  double started = -1.0; // below 0 while it waits
   bool ended = false;
 };
 
-/** An action at a time; equal times keep their order. */
+/** A scheduled action; events of equal time run in scheduling order. */
 struct Event
 {
   double at = 0.0;
@@ -89,7 +89,7 @@
   explicit Simulation(const PolicyRun& run)
     : run_(run)
   {
-    // Not absl::BitGen: that one differs from process to process.
+    // absl::BitGen would give other numbers in each process.
     random_.seed(run.seed);
     workRandom_.seed(run.seed + 1000003);
     MakeEngines();
@@ -100,13 +100,14 @@
   PolicyResult Run()
   {
     for (std::size_t i = 0; i < requests_.size(); ++i) {
-      At(requests_[i].arrival, [this, i] { Arrive(static_cast<int>(i)); });
+      Schedule(requests_[i].arrival,
+               [this, i] { OnArrival(static_cast<int>(i)); });
     }
-    Every(GossipSeconds, [this] { ShareAll(); });
-    Every(ReportSeconds, [this] { ReportAll(); });
-    Every(0.01, [this] { DispatchEverything(); });
+    SchedulePeriodically(GossipPeriodSeconds, [this] { ExchangeDemands(); });
+    SchedulePeriodically(ReportPeriodSeconds, [this] { SendLoadReports(); });
+    SchedulePeriodically(0.01, [this] { DispatchAll(); });
     if (run_.fault == PolicyFault::StageDown) {
-      At(run_.seconds * 0.6, [this] { Revive(); });
+      Schedule(run_.seconds * 0.6, [this] { RestoreEngines(); });
     }
     while (!events_.empty()) {
       const Event event = events_.top();
@@ -118,45 +119,46 @@
   }
 
 private:
-  void At(double when, std::function<void()> run)
+  void Schedule(double when, std::function<void()> run)
   {
     events_.push({ when, nextOrder_++, std::move(run) });
   }
 
-  void Every(double period, const std::function<void()>& run)
+  void SchedulePeriodically(double period, const std::function<void()>& run)
   {
     const double end = run_.seconds + 10.0;
     for (double at = period; at < end; at += period) {
-      At(at, run);
+      Schedule(at, run);
     }
   }
 
   Elapsed Time() const { return absl::Seconds(now_); }
 
-  int TightestGroup() const
+  int BottleneckGroup() const
   {
-    int tightest = 0;
-    double least = 1e9;
+    int bottleneck = 0;
+    double minCapacity = 1e9;
     for (std::size_t g = 0; g < run_.shape.groups.size(); ++g) {
       double visits = 0.0;
       for (const ShapePipeline& p : run_.shape.pipelines) {
-        visits += p.share * static_cast<double>(
-                              std::count(p.stages.begin(), p.stages.end(), g));
+        visits +=
+          p.fraction *
+          static_cast<double>(std::count(p.stages.begin(), p.stages.end(), g));
       }
       const ShapeGroup& group = run_.shape.groups[g];
-      const double served =
+      const double groupCapacity =
         group.endpoints * group.slots / group.meanSeconds / visits;
-      if (served < least) {
-        least = served;
-        tightest = static_cast<int>(g);
+      if (groupCapacity < minCapacity) {
+        minCapacity = groupCapacity;
+        bottleneck = static_cast<int>(g);
       }
     }
-    return tightest;
+    return bottleneck;
   }
 
   void MakeEngines()
   {
-    const int tightest = TightestGroup();
+    const int bottleneck = BottleneckGroup();
     for (std::size_t g = 0; g < run_.shape.groups.size(); ++g) {
       const ShapeGroup& group = run_.shape.groups[g];
       firstEngine_.push_back(static_cast<int>(engines_.size()));
@@ -165,16 +167,17 @@
         engine.group = static_cast<int>(g);
         engine.hall = i % Halls;
         engine.slots = group.slots;
-        const bool hit = static_cast<int>(g) == tightest;
-        if (hit && run_.fault == PolicyFault::SlowStage) {
-          engine.slowness = 2.0;
+        const bool isBottleneck = static_cast<int>(g) == bottleneck;
+        if (isBottleneck && run_.fault == PolicyFault::SlowStage) {
+          engine.slowdown = 2.0;
         }
-        if (hit && i == 0 && run_.fault == PolicyFault::SlowEndpoint) {
-          engine.slowness = SlowFactor;
+        if (isBottleneck && i == 0 &&
+            run_.fault == PolicyFault::SlowEndpoint) {
+          engine.slowdown = SlowFactor;
         }
-        const bool dead = run_.fault == PolicyFault::StageDown ||
-                          (i == 0 && run_.fault == PolicyFault::DeadEndpoint);
-        engine.dead = hit && dead;
+        const bool down = run_.fault == PolicyFault::StageDown ||
+                          (i == 0 && run_.fault == PolicyFault::EndpointDown);
+        engine.down = isBottleneck && down;
         engines_.push_back(engine);
       }
     }
@@ -232,11 +235,12 @@
     }
   }
 
-  /** The first account sends twenty times what it should. */
+  /** Adds requests so that the first account sends FloodFactor times its rate.
+   */
   void AddFlood(double rate)
   {
     const double extra =
-      rate * run_.shape.accounts[0].share * (FloodFactor - 1.0);
+      rate * run_.shape.accounts[0].fraction * (FloodFactor - 1.0);
     for (double at = 0.0; at < run_.seconds;
          at += absl::Exponential<double>(workRandom_, extra)) {
       AddRequest(at, 0);
@@ -247,7 +251,7 @@
   {
     double x = absl::Uniform(workRandom_, 0.0, 1.0);
     for (std::size_t i = 0; i < run_.shape.accounts.size(); ++i) {
-      x -= run_.shape.accounts[i].share;
+      x -= run_.shape.accounts[i].fraction;
       if (x < 0) {
         return i;
       }
@@ -263,12 +267,12 @@
     double x = absl::Uniform(workRandom_, 0.0, 1.0);
     const auto& pipelines = run_.shape.pipelines;
     while (request.pipeline + 1 < pipelines.size() &&
-           (x -= pipelines[request.pipeline].share) >= 0) {
+           (x -= pipelines[request.pipeline].fraction) >= 0) {
       ++request.pipeline;
     }
     const ShapePipeline& pipeline = pipelines[request.pipeline];
     if (run_.fault == PolicyFault::Burst) {
-      // Four seconds of twice the rate, then four of none.
+      // Four seconds at twice the rate, then four without any request.
       const double cycle = 8.0;
       at = std::floor(at / cycle) * cycle + std::fmod(at, cycle) / 2.0;
     }
@@ -297,28 +301,30 @@
     return run_.fair ? AccountName(request.account) : std::string("all");
   }
 
-  std::vector<StageOutlook> Outlook(const Request& request, std::size_t from)
+  std::vector<StageOutlook> EstimateStages(const Request& request,
+                                           std::size_t from)
   {
-    std::vector<StageOutlook> outlook;
+    std::vector<StageOutlook> estimates;
     const auto& stages = Stages(request);
     for (std::size_t i = from; i < stages.size(); ++i) {
-      outlook.push_back(OutlookFor(entries_[Index(request.entry)][stages[i]],
-                                   Account(request),
-                                   run_.fair ? Weight(request) : 1.0));
+      estimates.push_back(OutlookFor(entries_[Index(request.entry)][stages[i]],
+                                     Account(request),
+                                     run_.fair ? Weight(request) : 1.0));
     }
-    return outlook;
+    return estimates;
   }
 
   static std::size_t Index(int i) { return static_cast<std::size_t>(i); }
 
-  void Arrive(int id)
+  void OnArrival(int id)
   {
     Request& request = requests_[Index(id)];
     if (run_.admission) {
-      const Admission admission = AdmitByDeadline(
-        Outlook(request, 0), absl::Seconds(request.deadline - now_), random_);
+      const Admission admission =
+        AdmitByDeadline(EstimateStages(request, 0),
+                        absl::Seconds(request.deadline - now_), random_);
       if (admission.reason != Reason::None) {
-        End(request, false);
+        EndRequest(request, false);
         ++refused_;
         return;
       }
@@ -327,27 +333,27 @@
     for (const std::size_t g : Stages(request)) {
       CountUpcoming(entries_[Index(request.entry)][g], Account(request), 1);
     }
-    At(request.deadline, [this, id] { PassDeadline(id); });
-    EnterStage(id, SIZE_MAX);
+    Schedule(request.deadline, [this, id] { OnDeadline(id); });
+    EnqueueStage(id, SIZE_MAX);
   }
 
-  void StopCounting(Request& request, std::size_t until)
+  void RemoveUpcoming(Request& request, std::size_t until)
   {
-    for (; request.countedFrom < until; ++request.countedFrom) {
+    for (; request.firstUpcoming < until; ++request.firstUpcoming) {
       CountUpcoming(
-        entries_[Index(request.entry)][Stages(request)[request.countedFrom]],
+        entries_[Index(request.entry)][Stages(request)[request.firstUpcoming]],
         Account(request), -1);
     }
   }
 
-  void End(Request& request, bool attained)
+  void EndRequest(Request& request, bool attained)
   {
     if (request.done) {
       return;
     }
     request.done = true;
     if (request.admitted) {
-      StopCounting(request, Stages(request).size());
+      RemoveUpcoming(request, Stages(request).size());
     }
     if (attained) {
       ++attained_;
@@ -358,13 +364,13 @@
     }
   }
 
-  void PassDeadline(int id)
+  void OnDeadline(int id)
   {
     Request& request = requests_[Index(id)];
     if (request.done) {
       return;
     }
-    End(request, false);
+    EndRequest(request, false);
     const std::set<int> open = open_[id];
     open_.erase(id);
     for (const int attemptId : open) {
@@ -372,12 +378,12 @@
     }
   }
 
-  void EnterStage(int id, std::size_t avoid)
+  void EnqueueStage(int id, std::size_t avoid)
   {
     Request& request = requests_[Index(id)];
     const std::size_t g = Stages(request)[request.stage];
     GroupState& group = entries_[Index(request.entry)][g];
-    const auto ahead = Outlook(request, request.stage);
+    const auto ahead = EstimateStages(request, request.stage);
     WaitingStage waiting;
     waiting.ticket = nextTicket_++;
     waiting.account = Account(request);
@@ -392,16 +398,16 @@
     waiting.laterSeconds =
       run_.admission
         ? ServiceSeconds(ahead) - waiting.expectedCost
-        : -run_.seconds; // the baselines give nothing up before its deadline
+        : -run_.seconds; // the baselines drop no request before its deadline
     RouteQuery query;
     query.priorSeconds = ahead.front().serviceSeconds;
     query.avoid = avoid;
     waiting_[waiting.ticket] = id;
-    const bool hopeless = run_.admission && (!ahead.front().anyEndpoint ||
-                                             waiting.latestStart < Time());
-    if (hopeless ||
+    const bool infeasible = run_.admission && (!ahead.front().anyEndpoint ||
+                                               waiting.latestStart < Time());
+    if (infeasible ||
         Enqueue(group, std::move(waiting), query) != Reason::None) {
-      End(request, false);
+      EndRequest(request, false);
       ++failed_;
       return;
     }
@@ -412,7 +418,7 @@
   {
     DispatchRound round = Dispatch(entries_[Index(entry)][g], Time(), random_);
     for (WaitingStage& stage : round.hopeless) {
-      End(requests_[Index(waiting_[stage.ticket])], false);
+      EndRequest(requests_[Index(waiting_[stage.ticket])], false);
       ++failed_;
     }
     for (Grant& grant : round.grants) {
@@ -420,7 +426,7 @@
     }
   }
 
-  void DispatchEverything()
+  void DispatchAll()
   {
     for (int e = 0; e < Entries; ++e) {
       for (std::size_t g = 0; g < run_.shape.groups.size(); ++g) {
@@ -429,11 +435,12 @@
     }
   }
 
-  bool IsCut(int entry, const Engine& engine) const
+  bool IsPartitioned(int entry, const Engine& engine) const
   {
     const bool entryInside = entry < EntriesPerHall;
     const bool engineInside = engine.hall == 0;
-    return run_.fault == PolicyFault::HallCut && entryInside != engineInside;
+    return run_.fault == PolicyFault::HallPartition &&
+           entryInside != engineInside;
   }
 
   void StartAttempt(Grant grant, std::size_t g)
@@ -445,7 +452,7 @@
       quietLongestWait_ = std::max(
         quietLongestWait_, now_ - absl::ToDoubleSeconds(grant.stage.enqueued));
     }
-    StopCounting(request, request.stage + 1);
+    RemoveUpcoming(request, request.stage + 1);
     const int attemptId = static_cast<int>(attempts_.size());
     Attempt attempt;
     attempt.request = id;
@@ -455,28 +462,30 @@
     attempt.grant = std::move(grant);
     attempts_.push_back(std::move(attempt));
     open_[id].insert(attemptId);
-    ++tries_;
-    ++request.triesAtStage;
+    ++attemptCount_;
+    ++request.attemptsAtStage;
     if (request.done) {
       EndAttempt(attemptId, AttemptEnd::Cancelled);
       return;
     }
     const Engine& engine = engines_[Index(attempts_.back().engine)];
-    if (engine.dead) {
-      At(now_ + 0.001,
-         [this, attemptId] { EndAttempt(attemptId, AttemptEnd::Unreached); });
+    if (engine.down) {
+      Schedule(now_ + 0.001, [this, attemptId] {
+        EndAttempt(attemptId, AttemptEnd::Unreached);
+      });
       return;
     }
-    if (IsCut(request.entry, engine)) {
-      At(now_ + ConnectTimeoutSeconds,
-         [this, attemptId] { EndAttempt(attemptId, AttemptEnd::Unreached); });
+    if (IsPartitioned(request.entry, engine)) {
+      Schedule(now_ + ConnectTimeoutSeconds, [this, attemptId] {
+        EndAttempt(attemptId, AttemptEnd::Unreached);
+      });
       return;
     }
-    At(now_ + run_.shape.linkSeconds,
-       [this, attemptId] { ReachEngine(attemptId); });
+    Schedule(now_ + run_.shape.linkSeconds,
+             [this, attemptId] { ArriveAtEngine(attemptId); });
   }
 
-  void ReachEngine(int attemptId)
+  void ArriveAtEngine(int attemptId)
   {
     Attempt& attempt = attempts_[Index(attemptId)];
     if (attempt.ended) {
@@ -487,10 +496,10 @@
       engine.waiting.push_back(attemptId);
       return;
     }
-    BeginWork(attemptId);
+    StartWork(attemptId);
   }
 
-  void BeginWork(int attemptId)
+  void StartWork(int attemptId)
   {
     Attempt& attempt = attempts_[Index(attemptId)];
     Engine& engine = engines_[Index(attempt.engine)];
@@ -499,12 +508,13 @@
     attempt.started = now_;
     const double fill = static_cast<double>(engine.running) / engine.slots;
     const double seconds = request.work[Index(attempt.id.stage)] *
-                           engine.slowness * (0.5 + 0.5 * fill);
-    At(now_ + seconds,
-       [this, attemptId] { EndAttempt(attemptId, AttemptEnd::Answered); });
+                           engine.slowdown * (0.5 + 0.5 * fill);
+    Schedule(now_ + seconds, [this, attemptId] {
+      EndAttempt(attemptId, AttemptEnd::Answered);
+    });
   }
 
-  /** Leaves the engine, and lets the next in its queue begin. */
+  /** Removes an attempt from its engine and starts the next in the queue. */
   void LeaveEngine(int attemptId)
   {
     Attempt& attempt = attempts_[Index(attemptId)];
@@ -523,7 +533,7 @@
     if (!engine.waiting.empty()) {
       const int next = engine.waiting.front();
       engine.waiting.pop_front();
-      BeginWork(next);
+      StartWork(next);
     }
   }
 
@@ -541,64 +551,65 @@
     GroupState& group = entries_[Index(request.entry)][g];
     const double seconds =
       now_ - absl::ToDoubleSeconds(attempt.grant.stage.enqueued);
-    const double ran = attempt.started < 0 ? seconds : now_ - attempt.started;
-    Finish(group, attempt.grant, end, ran, Time());
+    const double runSeconds =
+      attempt.started < 0 ? seconds : now_ - attempt.started;
+    Finish(group, attempt.grant, end, runSeconds, Time());
     if (open_.count(id) != 0) {
       open_[id].erase(attemptId);
     }
     if (!request.done) {
-      Continue(id, attempt, end);
+      ContinueRequest(id, attempt, end);
     }
     DispatchOne(request.entry, g);
   }
 
-  void Continue(int id, const Attempt& attempt, AttemptEnd end)
+  void ContinueRequest(int id, const Attempt& attempt, AttemptEnd end)
   {
     Request& request = requests_[Index(id)];
     if (end == AttemptEnd::Answered) {
       JudgeAnswer(request.attempts, attempt.id);
-      request.triesAtStage = 0;
+      request.attemptsAtStage = 0;
       if (++request.stage == Stages(request).size()) {
-        End(request, true);
+        EndRequest(request, true);
         return;
       }
-      EnterStage(id, SIZE_MAX);
+      EnqueueStage(id, SIZE_MAX);
       return;
     }
     AbandonAttempt(request.attempts, attempt.id, end);
     const std::size_t g = Stages(request)[request.stage];
     GroupState& group = entries_[Index(request.entry)][g];
     const RetryQuery query{ run_.shape.groups[g].repeatable, end,
-                            request.triesAtStage, MaxTries, true };
+                            request.attemptsAtStage, MaxAttempts, true };
     if (!MayRetry(query) || !SpendRetry(group.retries)) {
-      End(request, false);
+      EndRequest(request, false);
       ++failed_;
       return;
     }
-    ++extraTries_;
-    EnterStage(id, attempt.grant.route.endpoint);
+    ++retries_;
+    EnqueueStage(id, attempt.grant.route.endpoint);
   }
 
-  /** What entries tell each other, as late as the gossip tells it. */
-  void ShareAll()
+  /** Exchanges demands between entries once per gossip period. */
+  void ExchangeDemands()
   {
     if (!run_.fair) {
       return;
     }
     for (std::size_t g = 0; g < run_.shape.groups.size(); ++g) {
       for (int side = 0; side < 2; ++side) {
-        ShareSide(g, side);
+        ExchangeDemandsOnSide(g, side);
       }
     }
   }
 
   bool IsOnSide(int entry, int side) const
   {
-    const bool cut = run_.fault == PolicyFault::HallCut;
-    return cut ? (entry < EntriesPerHall) == (side == 0) : side == 0;
+    const bool partitioned = run_.fault == PolicyFault::HallPartition;
+    return partitioned ? (entry < EntriesPerHall) == (side == 0) : side == 0;
   }
 
-  void ShareSide(std::size_t g, int side)
+  void ExchangeDemandsOnSide(std::size_t g, int side)
   {
     std::vector<ShareDemand> demands;
     for (int e = 0; e < Entries; ++e) {
@@ -606,14 +617,15 @@
         continue;
       }
       for (const auto& [name, entry] : entries_[Index(e)][g].queue.accounts) {
-        const int wanted =
+        const int outstanding =
           entry.running + static_cast<int>(entry.waiting.size());
         const auto& upcoming = entries_[Index(e)][g].upcoming;
-        auto found = upcoming.find(name);
-        const int coming = found == upcoming.end() ? 0 : found->second;
-        if (wanted + coming > 0) {
-          demands.push_back(
-            { name, entry.weight, std::to_string(e), wanted, coming });
+        auto upcomingEntry = upcoming.find(name);
+        const int upcomingCount =
+          upcomingEntry == upcoming.end() ? 0 : upcomingEntry->second;
+        if (outstanding + upcomingCount > 0) {
+          demands.push_back({ name, entry.weight, std::to_string(e),
+                              outstanding, upcomingCount });
         }
       }
     }
@@ -625,7 +637,7 @@
     }
   }
 
-  void ReportAll()
+  void SendLoadReports()
   {
     for (std::size_t n = 0; n < engines_.size(); ++n) {
       const Engine& engine = engines_[n];
@@ -634,71 +646,72 @@
       const int running = engine.running;
       const int waiting = static_cast<int>(engine.waiting.size());
       for (int e = 0; e < Entries; ++e) {
-        if (engine.dead || IsCut(e, engine)) {
+        if (engine.down || IsPartitioned(e, engine)) {
           NoteWatch(entries_[Index(e)][g].endpoints[index], false);
           continue;
         }
         const int own = entries_[Index(e)][g].endpoints[index].running;
-        const double taken = now_;
-        At(now_ + run_.reportLagSeconds, [this, e, g, index, running, waiting,
-                                          own, taken] {
+        const double reportedAt = now_;
+        Schedule(now_ + run_.reportLagSeconds, [this, e, g, index, running,
+                                                waiting, own, reportedAt] {
           LoadReport& report = entries_[Index(e)][g].endpoints[index].report;
-          report = { running, waiting, own, absl::Seconds(taken) };
+          report = { running, waiting, own, absl::Seconds(reportedAt) };
           NoteWatch(entries_[Index(e)][g].endpoints[index], true);
         });
       }
     }
   }
 
-  void Revive()
+  void RestoreEngines()
   {
     for (Engine& engine : engines_) {
-      engine.dead = false;
+      engine.down = false;
     }
   }
 
-  /** No schedule can answer more than the cheapest requests that fit into the
-   * tightest group's working time.
+  /** Returns an upper bound of the requests that any schedule can answer: the
+   * cheapest ones that fit into the working time of the bottleneck group.
    */
-  int CountPossible() const
+  int CountMaxAttainable() const
   {
-    int possible = static_cast<int>(requests_.size());
+    int maxAttainable = static_cast<int>(requests_.size());
     for (std::size_t g = 0; g < run_.shape.groups.size(); ++g) {
-      possible = std::min(possible, CountPossibleAt(g));
+      maxAttainable = std::min(maxAttainable, CountMaxAttainableAt(g));
     }
-    return possible;
+    return maxAttainable;
   }
 
-  int CountPossibleAt(std::size_t g) const
+  int CountMaxAttainableAt(std::size_t g) const
   {
-    double longest = 0.0;
+    double longestDeadline = 0.0;
     std::vector<double> needs;
-    int without = 0;
+    int unaffected = 0;
     for (const Request& request : requests_) {
       const auto& stages = Stages(request);
       double need = 0.0;
       for (std::size_t i = 0; i < stages.size(); ++i) {
         need += stages[i] == g ? request.work[i] : 0.0;
       }
-      longest = std::max(longest, request.deadline - request.arrival);
+      longestDeadline =
+        std::max(longestDeadline, request.deadline - request.arrival);
       if (need > 0) {
         needs.push_back(need);
       } else {
-        ++without;
+        ++unaffected;
       }
     }
     double seconds = 0.0;
     for (const Engine& engine : engines_) {
       const bool counts = engine.group == static_cast<int>(g);
-      const double alive = !engine.dead ? 1.0 : 0.0;
-      const double share =
-        run_.fault == PolicyFault::StageDown && counts ? 0.4 : alive;
-      seconds += counts ? engine.slots * share / engine.slowness *
-                            (run_.seconds + longest)
+      const double upFraction = !engine.down ? 1.0 : 0.0;
+      const double fraction =
+        run_.fault == PolicyFault::StageDown && counts ? 0.4 : upFraction;
+      seconds += counts ? engine.slots * fraction / engine.slowdown *
+                            (run_.seconds + longestDeadline)
                         : 0.0;
     }
     std::sort(needs.begin(), needs.end());
-    int fit = without;
+    int fit = unaffected;
     for (const double need : needs) {
       seconds -= need;
       if (seconds < 0) {
@@ -716,17 +729,17 @@
     result.attained = attained_;
     result.refused = refused_;
     result.failed = failed_;
-    result.possible = CountPossible();
+    result.maxAttainable = CountMaxAttainable();
     const double count = std::max(1, result.requests);
     result.attainment = attained_ / count;
-    result.ofPossible =
-      static_cast<double>(attained_) / std::max(1, result.possible);
+    result.ofMaxAttainable =
+      static_cast<double>(attained_) / std::max(1, result.maxAttainable);
     if (!latencies_.empty()) {
       std::sort(latencies_.begin(), latencies_.end());
       result.p99Seconds = latencies_[latencies_.size() * 99 / 100];
     }
-    result.extraTries = extraTries_ / count;
-    result.wastedWork =
+    result.retriesPerRequest = retries_ / count;
+    result.wastedFraction =
       allSeconds_ > 0 ? (allSeconds_ - usefulSeconds_) / allSeconds_ : 0.0;
     int quiet = 0;
     for (const Request& request : requests_) {
@@ -756,8 +769,8 @@
   int attained_ = 0;
   int refused_ = 0;
   int failed_ = 0;
-  int tries_ = 0;
-  int extraTries_ = 0;
+  int attemptCount_ = 0;
+  int retries_ = 0;
   int quietAttained_ = 0;
   double quietLongestWait_ = 0.0;
   double usefulSeconds_ = 0.0;
--- a/Tests/Policy/wgPolicyTable.cxx
+++ b/Tests/Policy/wgPolicyTable.cxx
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// Prints the policy measurements: each load beside its baselines.
+// Prints the policy measurements of each load and of its baselines.
 #include <cstdio>
 #include <string>
 #include <vector>
@@ -17,8 +17,9 @@
   std::printf("  %-22s %7d %7d %8.4f %8.4f %7.2f %7.3f %7.3f %8.4f %7.2f "
               "%7.3f\n",
               policy.c_str(), r.requests, r.attained, r.attainment,
-              r.ofPossible, r.p99Seconds, r.extraTries, r.wastedWork,
-              r.quietAttainment, r.quietLongestWait, r.secondsPerAnswer);
+              r.ofMaxAttainable, r.p99Seconds, r.retriesPerRequest,
+              r.wastedFraction, r.quietAttainment, r.quietLongestWait,
+              r.secondsPerAnswer);
 }
 
 void PrintLoad(PolicyRun run, const std::string& title)
@@ -39,7 +40,7 @@
 void PrintRouting(PolicyRun run, double lag)
 {
   run.reportLagSeconds = lag;
-  std::printf("%s, load %.1f, routing alone, reports %.1f s late\n",
+  std::printf("%s, load %.1f, only routing differs, reports %.1f s late\n",
               run.shape.name.c_str(), run.load, lag);
   const std::vector<std::pair<std::string, wg::RoutePolicy>> policies = {
     { "expected-finish", wg::RoutePolicy::ExpectedFinish },
@@ -72,11 +73,11 @@
     run.load = 0.8;
     const std::vector<std::pair<PolicyFault, std::string>> faults = {
       { PolicyFault::SlowEndpoint, "one endpoint five times slower" },
-      { PolicyFault::DeadEndpoint, "one endpoint dead" },
-      { PolicyFault::SlowStage, "tightest stage at half speed" },
-      { PolicyFault::StageDown, "tightest stage down for 24 of 40 s" },
-      { PolicyFault::HallCut, "one hall cut off" },
-      { PolicyFault::Flood, "one account at 20 times its share" },
+      { PolicyFault::EndpointDown, "one endpoint down" },
+      { PolicyFault::SlowStage, "bottleneck stage at half speed" },
+      { PolicyFault::StageDown, "bottleneck stage down for 24 of 40 s" },
+      { PolicyFault::HallPartition, "one hall partitioned" },
+      { PolicyFault::Flood, "one account at 20 times its rate" },
       { PolicyFault::Burst, "bursts of twice the rate" }
     };
     for (const auto& [fault, title] : faults) {
@@ -86,7 +87,7 @@
     run.fault = PolicyFault::None;
     run.load = 0.3;
     run.onlyQuiet = true;
-    PrintLoad(run, "the quiet account alone");
+    PrintLoad(run, "only the quiet account");
     run.onlyQuiet = false;
     for (const double load : { 0.5, 1.0, 1.5, 3.0 }) {
       run.load = load;
--- a/Tests/Policy/wgPolicyTest.cxx
+++ b/Tests/Policy/wgPolicyTest.cxx
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// Regression bounds on the policy measurements, in virtual time.
+// Checks the policy measurements against regression bounds.
 #include <catch2/catch.hpp>
 
 #include "wgPolicySimulation.h"
@@ -31,47 +31,48 @@
 
 } // namespace
 
-TEST_CASE("attainment holds up at half, full and more than full load")
+TEST_CASE("attainment stays within its bounds from half to triple load")
 {
   for (const auto& shape :
        { wg::test::HinokuniShape(), wg::test::WindwardShape() }) {
     INFO(shape.name);
-    CHECK(wg::test::Simulate(MakeRun(shape, 0.5)).ofPossible >= 0.98);
-    CHECK(wg::test::Simulate(MakeRun(shape, 1.0)).ofPossible >= 0.95);
+    CHECK(wg::test::Simulate(MakeRun(shape, 0.5)).ofMaxAttainable >= 0.98);
+    CHECK(wg::test::Simulate(MakeRun(shape, 1.0)).ofMaxAttainable >= 0.95);
     for (const double load : { 1.5, 3.0 }) {
       const PolicyRun run = MakeRun(shape, load);
       const PolicyResult result = wg::test::Simulate(run);
       INFO("load " << load);
-      CHECK(result.ofPossible >= 0.64);
-      CHECK(result.wastedWork <= 0.03);
+      CHECK(result.ofMaxAttainable >= 0.64);
+      CHECK(result.wastedFraction <= 0.03);
       CHECK(result.attained > 1.1 * Baseline(run).attained);
     }
   }
 }
 
-TEST_CASE("one slow, one dead endpoint and a cut hall cost little")
+TEST_CASE(
+  "a slow or lost endpoint or a hall partition costs little attainment")
 {
   for (const PolicyFault fault :
-       { PolicyFault::SlowEndpoint, PolicyFault::DeadEndpoint,
-         PolicyFault::HallCut }) {
+       { PolicyFault::SlowEndpoint, PolicyFault::EndpointDown,
+         PolicyFault::HallPartition }) {
     const PolicyRun run = MakeRun(wg::test::HinokuniShape(), 0.8, fault);
     const PolicyResult result = wg::test::Simulate(run);
     INFO(static_cast<int>(fault));
-    CHECK(result.ofPossible >= 0.98);
-    CHECK(result.ofPossible >= Baseline(run).ofPossible - 0.005);
-    CHECK(result.extraTries <= 0.1);
+    CHECK(result.ofMaxAttainable >= 0.98);
+    CHECK(result.ofMaxAttainable >= Baseline(run).ofMaxAttainable - 0.005);
+    CHECK(result.retriesPerRequest <= 0.1);
   }
 }
 
-TEST_CASE("a stage that is down makes no storm of retries")
+TEST_CASE("a stage that is down causes few retries")
 {
   const PolicyResult result = wg::test::Simulate(
     MakeRun(wg::test::HinokuniShape(), 0.8, PolicyFault::StageDown));
-  CHECK(result.extraTries <= 0.1);
-  CHECK(result.wastedWork <= 0.05);
+  CHECK(result.retriesPerRequest <= 0.1);
+  CHECK(result.wastedFraction <= 0.05);
 }
 
-TEST_CASE("a flood by one account leaves a quiet one what it had")
+TEST_CASE("one account's flood does not lower a quiet account's attainment")
 {
   for (const auto& shape :
        { wg::test::HinokuniShape(), wg::test::WindwardShape() }) {
