--- a/Source/Decision/wgFairQueue.cxx
+++ b/Source/Decision/wgFairQueue.cxx
@@ -7,33 +7,41 @@
 namespace wg {
 namespace {
 
-/** One step of priority counts as much as this much less time left. It is
- * bounded, so that waiting always overtakes priority in the end.
+/** Each step of priority orders a stage as if its deadline were this much
+ * earlier. The offset is bounded, so that stages of low priority do not
+ * starve.
  */
-constexpr absl::Duration PriorityStep = absl::Milliseconds(500);
+constexpr absl::Duration PriorityDeadlineOffset = absl::Milliseconds(500);
 constexpr double MinWeight = 1e-6;
 
 WaitingKey KeyOf(const WaitingStage& stage)
 {
-  return { stage.deadline - stage.priority * PriorityStep, stage.ticket };
+  return { stage.deadline - stage.priority * PriorityDeadlineOffset,
+           stage.ticket };
 }
 
+/** Must be called before the start tag or the waiting stages change, since the
+ * start tag is part of the key.
+ */
 void LeaveTurn(FairQueue& queue, const std::string& account,
                const AccountQueue& entry)
 {
-  queue.turn.erase({ entry.startTag, account });
+  queue.backlogged.erase({ entry.startTag, account });
 }
 
 void EnterTurn(FairQueue& queue, const std::string& account,
                const AccountQueue& entry)
 {
   if (!entry.waiting.empty()) {
-    queue.turn.insert({ entry.startTag, account });
+    queue.backlogged.insert({ entry.startTag, account });
   }
 }
 
-/** An account that neither waits nor runs, nor owes, is forgotten. */
-void ForgetIfIdle(FairQueue& queue, const std::string& account)
+/** Removes an account without waiting and running stages. One whose start tag
+ * is ahead of virtual time is kept: it has used more than its share, which
+ * must still count when it returns.
+ */
+void RemoveIfIdle(FairQueue& queue, const std::string& account)
 {
   auto found = queue.accounts.find(account);
   const bool idle =
@@ -44,7 +52,7 @@
   }
 }
 
-bool IsHopeless(const WaitingStage& stage, Elapsed now, double stageSeconds)
+bool IsInfeasible(const WaitingStage& stage, Elapsed now, double stageSeconds)
 {
   const Elapsed done = now + absl::Seconds(stageSeconds + stage.laterSeconds);
   return now > stage.latestStart || done > stage.deadline;
@@ -86,7 +94,7 @@
 
 std::optional<WaitingStage> PopNext(FairQueue& queue, const MayStart& mayStart)
 {
-  for (const TurnKey& key : queue.turn) {
+  for (const StartTagKey& key : queue.backlogged) {
     AccountQueue& entry = queue.accounts[key.account];
     if (!mayStart(key.account, entry.running)) {
       continue;
@@ -119,7 +127,7 @@
   LeaveTurn(queue, account, entry);
   TakeOut(queue, entry, at);
   EnterTurn(queue, account, entry);
-  ForgetIfIdle(queue, account);
+  RemoveIfIdle(queue, account);
   return true;
 }
 
@@ -127,11 +135,11 @@
                                        double stageSeconds)
 {
   std::vector<WaitingStage> hopeless;
-  std::vector<std::string> touched;
-  for (const TurnKey& key : queue.turn) {
+  std::vector<std::string> emptied;
+  for (const StartTagKey& key : queue.backlogged) {
     AccountQueue& entry = queue.accounts[key.account];
     for (auto at = entry.waiting.begin(); at != entry.waiting.end();) {
-      if (!IsHopeless(at->second, now, stageSeconds)) {
+      if (!IsInfeasible(at->second, now, stageSeconds)) {
         ++at;
         continue;
       }
@@ -140,12 +148,12 @@
       at = entry.waiting.upper_bound(position);
     }
     if (entry.waiting.empty()) {
-      touched.push_back(key.account);
+      emptied.push_back(key.account);
     }
   }
-  for (const std::string& account : touched) {
+  for (const std::string& account : emptied) {
     LeaveTurn(queue, account, queue.accounts[account]);
-    ForgetIfIdle(queue, account);
+    RemoveIfIdle(queue, account);
   }
   return hopeless;
 }
@@ -162,7 +170,7 @@
   entry.startTag += (actualCost - expectedCost) / entry.weight;
   --entry.running;
   EnterTurn(queue, account, entry);
-  ForgetIfIdle(queue, account);
+  RemoveIfIdle(queue, account);
 }
 
 std::size_t CountWaiting(const FairQueue& queue, const std::string& account)
