--- a/Source/Decision/wgAccountShares.cxx
+++ b/Source/Decision/wgAccountShares.cxx
@@ -12,21 +12,22 @@
 namespace wg {
 namespace {
 
-/** Longer than any call: one is given up after three times what it should
- * take, and the longest that a document may name takes some seconds.
+/** Longer than any call: a call is abandoned after three times its expected
+ * time, and the longest call that a document may configure takes some seconds.
  */
-constexpr double MostChargeMs = 600000.0;
-constexpr double LeastWeight = 1e-6;
-constexpr double MostWeight = 1e6;
-/** A call carries 18 to 88 pieces: accounts of equal demand differ by some of
- * them by chance. docs/design/account-shares.md has figures for other margins.
+constexpr double MaxChargeMs = 600000.0;
+constexpr double MinWeight = 1e-6;
+constexpr double MaxWeight = 1e6;
+/** An account exceeds its share only above this multiple of it. A call carries
+ * 18 to 88 pieces, so that accounts of equal demand differ by a few pieces by
+ * chance. docs/design/account-shares.md has figures for other margins.
  */
 constexpr double ShareMargin = 1.05;
 
 std::int64_t StepOf(Elapsed time)
 {
-  absl::Duration rest;
-  return absl::IDivDuration(time, AccountWindow / AccountSteps, &rest);
+  absl::Duration remainder;
+  return absl::IDivDuration(time, AccountWindow / AccountSteps, &remainder);
 }
 
 std::size_t SlotOf(std::int64_t step)
@@ -34,19 +35,18 @@
   return static_cast<std::size_t>(step % AccountSteps);
 }
 
-bool IsSound(double ms)
+bool IsValidMs(double ms)
 {
-  return std::isfinite(ms) && ms >= 0.0 && ms <= MostChargeMs;
+  return std::isfinite(ms) && ms >= 0.0 && ms <= MaxChargeMs;
 }
 
-bool IsSoundWeight(double weight)
+bool IsValidWeight(double weight)
 {
-  return std::isfinite(weight) && weight >= LeastWeight &&
-         weight <= MostWeight;
+  return std::isfinite(weight) && weight >= MinWeight && weight <= MaxWeight;
 }
 
-/** Empties the steps that the window reaches now, and forgets accounts that
- * have no work in it.
+/** Advances the window to the present, clears the steps that it enters, and
+ * removes accounts without work in it.
  */
 void Advance(AccountShares& shares, Elapsed now)
 {
@@ -69,91 +69,101 @@
   });
 }
 
-/** Steps that have left the window since the last charge do not count. */
+/** Sums the steps that are still within the window at `step`. */
 double UsedMs(const RecentWork& use, std::int64_t newest, std::int64_t step)
 {
-  const std::int64_t gone =
+  const std::int64_t expired =
     std::clamp<std::int64_t>(step - newest, 0, AccountSteps);
   double sum = 0.0;
-  for (std::int64_t s = newest - AccountSteps + 1 + gone; s <= newest; ++s) {
+  for (std::int64_t s = newest - AccountSteps + 1 + expired; s <= newest;
+       ++s) {
     sum += s < 0 ? 0.0F : use.ms[SlotOf(s)];
   }
   return sum;
 }
 
-/** An account as the division of the window's work sees it. */
-struct Party
+/** Work, demand and weight of an account in the max-min division. */
+struct Contender
 {
   absl::string_view account;
   double used = 0.0;
-  double wanted = 0.0; // used and waiting
+  double wanted = 0.0; // used plus waiting
   double weight = 1.0;
 
   double Ratio() const { return wanted / weight; }
 };
 
-std::vector<Party> ListParties(const AccountShares& shares,
-                               const AccountDemands& demands, Elapsed now)
+std::vector<Contender> ListContenders(const AccountShares& shares,
+                                      const AccountDemands& demands,
+                                      Elapsed now)
 {
-  std::vector<Party> parties;
-  parties.reserve(shares.accounts.size() + demands.size());
+  std::vector<Contender> contenders;
+  contenders.reserve(shares.accounts.size() + demands.size());
   const std::int64_t step = StepOf(now);
   for (const auto& [name, use] : shares.accounts) {
-    Party party{ name, UsedMs(use, shares.step, step), 0.0, use.weight };
+    Contender contender{ name, UsedMs(use, shares.step, step), 0.0,
+                         use.weight };
     auto waits = demands.find(name);
-    party.wanted = party.used;
+    contender.wanted = contender.used;
     if (waits != demands.end()) {
-      party.wanted += waits->second.ms;
-      party.weight = waits->second.weight;
+      contender.wanted += waits->second.ms;
+      contender.weight = waits->second.weight;
     }
-    if (party.wanted > 0.0) {
-      parties.push_back(party);
+    if (contender.wanted > 0.0) {
+      contenders.push_back(contender);
     }
   }
   for (const auto& [name, demand] : demands) {
     if (!shares.accounts.contains(name)) {
-      parties.push_back({ name, 0.0, demand.ms, demand.weight });
+      contenders.push_back({ name, 0.0, demand.ms, demand.weight });
     }
   }
-  for (Party& party : parties) {
-    party.wanted = IsSound(party.wanted) ? party.wanted : party.used;
-    party.weight = IsSoundWeight(party.weight) ? party.weight : 1.0;
+  for (Contender& contender : contenders) {
+    contender.wanted =
+      IsValidMs(contender.wanted) ? contender.wanted : contender.used;
+    contender.weight =
+      IsValidWeight(contender.weight) ? contender.weight : 1.0;
   }
-  return parties;
+  return contenders;
 }
 
-double SumOfWeights(absl::Span<const Party> parties)
+double SumOfWeights(absl::Span<const Contender> contenders)
 {
-  return std::accumulate(
-    parties.begin(), parties.end(), 0.0,
-    [](double sum, const Party& party) { return sum + party.weight; });
+  return std::accumulate(contenders.begin(), contenders.end(), 0.0,
+                         [](double sum, const Contender& contender) {
+                           return sum + contender.weight;
+                         });
 }
 
-/** The work for each unit of weight that accounts with more demand get.
- * Halves the accounts in question around the median of their demand, so that
- * the cost is linear; orders `parties` anew.
+/** Returns the work per unit of weight of the accounts whose demand is not
+ * met. Each step halves the remaining accounts at the median of their demand
+ * per weight, so that the expected time is linear. Reorders `contenders`.
  */
-double FindLevel(double work, absl::Span<Party> parties)
-{
-  double moreWeight = 0.0; // of accounts that want more than the level
-  while (!parties.empty()) {
-    const std::size_t middle = parties.size() / 2;
-    std::nth_element(
-      parties.begin(), parties.begin() + middle, parties.end(),
-      [](const Party& a, const Party& b) { return a.Ratio() < b.Ratio(); });
-    const auto less = parties.first(middle + 1);
-    const auto more = parties.subspan(middle + 1);
-    const double lessWanted = std::accumulate(
-      less.begin(), less.end(), 0.0,
-      [](double sum, const Party& party) { return sum + party.wanted; });
-    const double atMiddle =
-      lessWanted + parties[middle].Ratio() * (SumOfWeights(more) + moreWeight);
+double FindLevel(double work, absl::Span<Contender> contenders)
+{
+  double moreWeight = 0.0; // of accounts with demand above the level
+  while (!contenders.empty()) {
+    const std::size_t middle = contenders.size() / 2;
+    std::nth_element(contenders.begin(), contenders.begin() + middle,
+                     contenders.end(),
+                     [](const Contender& a, const Contender& b) {
+                       return a.Ratio() < b.Ratio();
+                     });
+    const auto less = contenders.first(middle + 1);
+    const auto more = contenders.subspan(middle + 1);
+    const double lessWanted =
+      std::accumulate(less.begin(), less.end(), 0.0,
+                      [](double sum, const Contender& contender) {
+                        return sum + contender.wanted;
+                      });
+    const double atMiddle = lessWanted + contenders[middle].Ratio() *
+                                           (SumOfWeights(more) + moreWeight);
     if (atMiddle <= work) {
       work -= lessWanted;
-      parties = more;
+      contenders = more;
     } else {
-      moreWeight += SumOfWeights(more) + parties[middle].weight;
-      parties = parties.first(middle);
+      moreWeight += SumOfWeights(more) + contenders[middle].weight;
+      contenders = contenders.first(middle);
     }
   }
   return moreWeight > 0.0 ? work / moreWeight
@@ -164,7 +174,7 @@
 
 bool ChargeWork(AccountShares& shares, const AccountWork& work, Elapsed now)
 {
-  if (!IsSound(work.ms) || !IsSoundWeight(work.weight) ||
+  if (!IsValidMs(work.ms) || !IsValidWeight(work.weight) ||
       now < absl::ZeroDuration()) {
     return false;
   }
@@ -178,13 +188,13 @@
 bool SettleWork(AccountShares& shares, const AccountWork& charged, double ms,
                 Elapsed started, Elapsed now)
 {
-  if (!IsSound(ms) || !IsSound(charged.ms) || started > now) {
+  if (!IsValidMs(ms) || !IsValidMs(charged.ms) || started > now) {
     return false;
   }
   Advance(shares, now);
   const std::int64_t step = StepOf(started);
   auto found = shares.accounts.find(charged.account);
-  // What has left the window is of no account any more.
+  // Work that has left the window no longer counts.
   if (step > shares.step - AccountSteps && step >= 0 &&
       found != shares.accounts.end()) {
     float& kept = found->second.ms[SlotOf(step)];
@@ -210,18 +220,20 @@
   if (wait <= ContendedWait) {
     return standings;
   }
-  std::vector<Party> parties = ListParties(shares, demands, now);
-  if (parties.size() < 2) {
+  std::vector<Contender> contenders = ListContenders(shares, demands, now);
+  if (contenders.size() < 2) {
     return standings;
   }
-  const double work = std::accumulate(
-    parties.begin(), parties.end(), 0.0,
-    [](double sum, const Party& party) { return sum + party.used; });
-  const double level = FindLevel(work, absl::MakeSpan(parties));
-  for (const Party& party : parties) {
-    const double share = level * party.weight;
-    if (party.used > share * ShareMargin) {
-      standings.exceeded[party.account] = { party.used, share };
+  const double work =
+    std::accumulate(contenders.begin(), contenders.end(), 0.0,
+                    [](double sum, const Contender& contender) {
+                      return sum + contender.used;
+                    });
+  const double level = FindLevel(work, absl::MakeSpan(contenders));
+  for (const Contender& contender : contenders) {
+    const double share = level * contender.weight;
+    if (contender.used > share * ShareMargin) {
+      standings.exceeded[contender.account] = { contender.used, share };
     }
   }
   return standings;
@@ -234,13 +246,13 @@
 }
 
 std::vector<std::string> MostExceeding(const AccountStandings& standings,
-                                       std::size_t most)
+                                       std::size_t maxCount)
 {
   std::vector<std::pair<double, std::string>> accounts;
   for (const auto& [name, exceeded] : standings.exceeded) {
     accounts.emplace_back(exceeded.share - exceeded.used, name);
   }
-  const std::size_t count = std::min(most, accounts.size());
+  const std::size_t count = std::min(maxCount, accounts.size());
   std::partial_sort(accounts.begin(), accounts.begin() + count,
                     accounts.end());
   std::vector<std::string> names;
--- a/Tests/Decision/wgAccountSharesTest.cxx
+++ b/Tests/Decision/wgAccountSharesTest.cxx
@@ -68,10 +68,10 @@
   CHECK_FALSE(Exceeds(shares, demands, "a"));
 }
 
-TEST_CASE("What accounts with little demand leave goes to the others")
+TEST_CASE("Share that an account leaves unused goes to the other accounts")
 {
-  // 1,000 ms: 100 to the first, which wants no more, 450 to each of the
-  // others.
+  // Of 1,000 ms the first account gets its demand of 100 ms, and each of the
+  // others 450 ms.
   wg::AccountShares shares;
   ChargeWork(shares, { "little", 80.0 }, Now);
   ChargeWork(shares, { "middle", 350.0 }, Now);
@@ -85,9 +85,9 @@
   CHECK(standings.exceeded.at("much").share == Approx(450.0));
 }
 
-TEST_CASE("Shares follow weights")
+TEST_CASE("Shares are proportional to weights")
 {
-  // 900 ms by weights of 2 and 1: 600 and 300.
+  // 900 ms divide into 600 and 300 ms by weights of 2 and 1.
   wg::AccountShares shares;
   ChargeWork(shares, { "double", 550.0, 2.0 }, Now);
   ChargeWork(shares, { "single", 350.0, 1.0 }, Now);
@@ -99,7 +99,7 @@
 
 TEST_CASE("Accounts that differ by a few pieces are not held back")
 {
-  // 1 % above the share is chance: a call carries dozens of pieces.
+  // A call carries dozens of pieces, so that 1 % above the share is chance.
   wg::AccountShares shares;
   ChargeWork(shares, { "a", 1020.0 }, Now);
   ChargeWork(shares, { "b", 1000.0 }, Now);
@@ -118,13 +118,13 @@
   CHECK(UsedMs(shares, "a", Now + wg::AccountWindow) == Approx(200.0));
   CHECK(UsedMs(shares, "a", Now + wg::AccountWindow + Step) == 0.0);
   CHECK(UsedMs(shares, "a", Now + absl::Hours(1)) == 0.0);
-  SECTION("and so after a pause, in steps that are used again")
+  SECTION("also after a pause, in steps that are reused")
   {
     const Elapsed later = Now + 3 * wg::AccountWindow;
     ChargeWork(shares, { "a", 50.0 }, later);
     CHECK(UsedMs(shares, "a", later) == Approx(50.0));
   }
-  SECTION("accounts without work in it are forgotten")
+  SECTION("accounts without work in the window are removed")
   {
     ChargeWork(shares, { "b", 50.0 }, Now + 2 * wg::AccountWindow);
     CHECK(shares.accounts.size() == 1);
@@ -132,32 +132,32 @@
   }
 }
 
-TEST_CASE("What was charged for a call is replaced by what it took")
+TEST_CASE("The charge for a call is replaced by the time that it took")
 {
   wg::AccountShares shares;
   const wg::AccountWork call{ "a", 300.0 };
   ChargeWork(shares, call, Now);
   ChargeWork(shares, { "a", 100.0 }, Now);
-  SECTION("it took longer")
+  SECTION("the call took longer")
   {
     CHECK(SettleWork(shares, call, 700.0, Now, Now + Step));
     CHECK(UsedMs(shares, "a", Now + Step) == Approx(800.0));
-    // The whole of it leaves the window with the step that it began in.
+    // All of its work leaves the window with the step in which it began.
     CHECK(UsedMs(shares, "a", Now + wg::AccountWindow) == 0.0);
   }
-  SECTION("it was not run")
+  SECTION("the call was not run")
   {
     CHECK(SettleWork(shares, call, 0.0, Now, Now + Step));
     CHECK(UsedMs(shares, "a", Now + Step) == Approx(100.0));
   }
-  SECTION("it ended after its step had left the window")
+  SECTION("the call ended after its step had left the window")
   {
     const Elapsed later = Now + wg::AccountWindow + Step;
     ChargeWork(shares, { "a", 70.0 }, later);
     CHECK(SettleWork(shares, call, 0.0, Now, later));
     CHECK(UsedMs(shares, "a", later) == Approx(70.0));
   }
-  SECTION("the account was forgotten meanwhile")
+  SECTION("the account was removed meanwhile")
   {
     CHECK(SettleWork(shares, { "gone", 300.0 }, 0.0, Now, Now + Step));
     CHECK(UsedMs(shares, "gone", Now + Step) == 0.0);
@@ -178,17 +178,18 @@
     CHECK_FALSE(ChargeWork(shares, { "a", 1.0, bad - 2.0 }, Now));
     CHECK_FALSE(SettleWork(shares, call, bad, Now, Now));
     CHECK_FALSE(SettleWork(shares, { "a", bad }, 1.0, Now, Now));
-    // Such demand counts as none, and does not spread to other accounts.
+    // Invalid demand counts as none and does not affect other accounts.
     const wg::AccountDemands demands = { { "a", { bad } }, { "b", { 50.0 } } };
     CHECK_FALSE(Exceeds(shares, demands, "b"));
   }
-  CHECK_FALSE(SettleWork(shares, call, 1.0, Now + Step, Now)); // future
+  // Work that starts after `now` is invalid.
+  CHECK_FALSE(SettleWork(shares, call, 1.0, Now + Step, Now));
   CHECK_FALSE(ChargeWork(shares, { "a", 1.0 }, -Step));
   CHECK(UsedMs(shares, "a", Now) == Approx(100.0));
   CHECK(shares.accounts.size() == 1);
 }
 
-TEST_CASE("Work that is told of late counts in the newest step")
+TEST_CASE("Work charged with an earlier time counts in the newest step")
 {
   wg::AccountShares shares;
   ChargeWork(shares, { "a", 100.0 }, Now);
@@ -196,7 +197,7 @@
   CHECK(UsedMs(shares, "a", Now + wg::AccountWindow - Step) == Approx(110.0));
 }
 
-TEST_CASE("Shares of any accounts are those of weighted max-min")
+TEST_CASE("Shares of random accounts equal those of weighted max-min fairness")
 {
   std::mt19937_64 random(7);
   std::uniform_real_distribution<double> ms(0.0, 1000.0);
@@ -226,16 +227,16 @@
         demands[a.name] = { a.waiting, a.weight };
       }
     }
-    // The level by bisection: the least that gives out all that was used.
+    // Finds by bisection the lowest level at which all used work is allotted.
     double low = 0.0;
     double high = 1e6;
     for (int i = 0; i < 100; ++i) {
       const double level = (low + high) / 2;
-      double given = 0.0;
+      double allotted = 0.0;
       for (const Account& a : accounts) {
-        given += std::min(a.used + a.waiting, level * a.weight);
+        allotted += std::min(a.used + a.waiting, level * a.weight);
       }
-      (given < used - 1e-6 ? low : high) = level;
+      (allotted < used - 1e-6 ? low : high) = level;
     }
     const auto standings = JudgeAccounts(shares, demands, LongWait, Now);
     for (const Account& a : accounts) {
@@ -252,7 +253,7 @@
   }
 }
 
-TEST_CASE("The accounts furthest above their shares are told first")
+TEST_CASE("The accounts furthest above their shares are returned first")
 {
   wg::AccountStandings standings;
   for (int i = 0; i < 9; ++i) {
