--- a/Source/Decision/wgAdmission.cxx
+++ b/Source/Decision/wgAdmission.cxx
@@ -8,10 +8,11 @@
 namespace wg {
 namespace {
 
-constexpr absl::Duration ShortestRetryAfter = absl::Milliseconds(200);
+constexpr absl::Duration MinRetryAfter = absl::Milliseconds(200);
 constexpr absl::Duration NoEndpointRetryAfter = absl::Seconds(2);
+/** Burst allowance of an account, in seconds of its rate. */
 constexpr double BurstSeconds = 1.0;
-/** How much of the largest spread of a stage is kept as a reserve. */
+/** Fraction of the largest spread of a stage that is added as a margin. */
 constexpr double SpreadMargin = 0.3;
 
 double LargestSpread(absl::Span<const StageOutlook> stages)
@@ -29,11 +30,11 @@
 {
   double at = 0.0;
   for (const StageOutlook& stage : stages) {
-    const double places = std::max(stage.places, 0.1);
-    const double clear = stage.ahead * stage.serviceSeconds / places;
-    // What is ahead drains while the request passes the earlier stages. A
-    // place becomes free when all but `places` of it are done.
-    const double start = std::max(at, clear - stage.serviceSeconds);
+    const double slots = std::max(stage.slots, 0.1);
+    const double drainSeconds = stage.ahead * stage.serviceSeconds / slots;
+    // The stages ahead are served while the request passes its earlier
+    // stages. A slot becomes free when all but `slots` of them are done.
+    const double start = std::max(at, drainSeconds - stage.serviceSeconds);
     at = start + stage.serviceSeconds;
   }
   return at;
@@ -73,14 +74,14 @@
   const int running = use.running + limits.runningElsewhere;
   if (limits.concurrency > 0 && running >= limits.concurrency) {
     return { Reason::AccountConcurrency,
-             SpreadRetryAfter(ShortestRetryAfter, random), 0.0 };
+             SpreadRetryAfter(MinRetryAfter, random), 0.0 };
   }
   if (limits.ratePerSecond > 0) {
     const double rate = limits.ratePerSecond / std::max(1, limits.boxes);
     const double cap = std::max(1.0, rate * BurstSeconds);
-    const double gained = absl::ToDoubleSeconds(now - use.refilled) * rate;
+    const double gained = absl::ToDoubleSeconds(now - use.lastRefill) * rate;
     use.tokens = std::min(cap, use.tokens + gained);
-    use.refilled = now;
+    use.lastRefill = now;
     if (use.tokens < 1.0) {
       return {
         Reason::AccountRate,
@@ -93,9 +94,9 @@
   return {};
 }
 
-absl::Duration SpreadRetryAfter(absl::Duration least, absl::BitGenRef random)
+absl::Duration SpreadRetryAfter(absl::Duration minimum, absl::BitGenRef random)
 {
-  const absl::Duration base = std::max(least, ShortestRetryAfter);
+  const absl::Duration base = std::max(minimum, MinRetryAfter);
   return base + base * absl::Uniform(random, 0.0, 1.0);
 }
 
--- a/Source/Decision/wgAdmission.h
+++ b/Source/Decision/wgAdmission.h
@@ -11,14 +11,14 @@
 
 namespace wg {
 
-/** \brief What a new request will meet at one of its stages. */
+/** \brief Estimates for a new request at one of its stages. */
 struct StageOutlook
 {
-  double serviceSeconds = 0.0; // expected for one stage
-  double spreadSeconds = 0.0;  // mean distance from that
-  double ahead = 0.0;  // stages of its account that come before it, here or
-                       // still on their way here
-  double places = 1.0; // places that its account may use
+  double serviceSeconds = 0.0; // expected service time of one stage
+  double spreadSeconds = 0.0;  // mean absolute deviation of the service time
+  /** Stages of its account that run or wait here or are upcoming. */
+  double ahead = 0.0;
+  double slots = 1.0; // slots that its account may use
   bool anyEndpoint = true;
 };
 
@@ -28,40 +28,49 @@
   double ratePerSecond = 0.0; // 0: none
   int concurrency = 0;        // 0: none
   int boxes = 1;              // live entry boxes that share the limits
-  int runningElsewhere = 0;   // its requests at the other boxes
+  int runningElsewhere = 0;   // requests of the account at the other boxes
 };
 
-/** \brief An account's use at this box. */
+/** \brief Use of one account at this box: a token bucket for its rate, and its
+ * running requests.
+ */
 struct AccountUse
 {
   double tokens = 0.0;
-  Elapsed refilled = -absl::InfiniteDuration();
+  Elapsed lastRefill = -absl::InfiniteDuration();
   int running = 0;
 };
 
-/** \brief Accepted (Reason::None), or refused with when to come back. */
+/** \brief Admitted (Reason::None), or refused, with the time after which the
+ * caller may retry.
+ */
 struct Admission
 {
   Reason reason = Reason::None;
   absl::Duration retryAfter;
-  double finishSeconds = 0.0; // expected
+  double finishSeconds = 0.0; // expected time to the complete answer
 };
 
-/** \brief Expected time from now to the whole answer, in seconds. */
+/** \brief Returns the expected time to the complete answer, in seconds. */
 double ExpectedRequestSeconds(absl::Span<const StageOutlook> stages);
 
-/** \brief The time that the stages take without any wait, in seconds. */
+/** \brief Returns the sum of the service times, without waits, in seconds. */
 double ServiceSeconds(absl::Span<const StageOutlook> stages);
 
-/** \brief Whether the request can be answered by its deadline. */
+/** \brief Admits a request if it is expected to finish by its deadline. */
 Admission AdmitByDeadline(absl::Span<const StageOutlook> stages,
                           absl::Duration timeLeft, absl::BitGenRef random);
 
-/** \brief Whether the account is within its limits; takes one if so. */
+/** \brief Admits a request if its account is within its limits, and counts it
+ * as running.
+ */
 Admission AdmitByLimits(AccountUse& use, const AccountLimits& limits,
                         Elapsed now, absl::BitGenRef random);
 
-/** \brief When to come back, spread so that callers do not come together. */
-absl::Duration SpreadRetryAfter(absl::Duration least, absl::BitGenRef random);
+/** \brief Returns a retry delay with random jitter, so that callers do not
+ * retry at the same time: one to two times the minimum.
+ */
+absl::Duration SpreadRetryAfter(absl::Duration minimum,
+                                absl::BitGenRef random);
 
 } // namespace wg
--- a/Source/Decision/wgAttempts.cxx
+++ b/Source/Decision/wgAttempts.cxx
@@ -4,7 +4,7 @@
 namespace wg {
 namespace {
 
-/** The state of a try, or null when no such try was made. */
+/** Returns the state of an attempt, or null if no such attempt was made. */
 AttemptState* FindAttempt(RequestAttempts& attempts, const AttemptId& id)
 {
   const bool known = id.request == attempts.request && id.stage >= 0 &&
@@ -14,8 +14,8 @@
   }
   StageAttempts& stage = attempts.stages[static_cast<std::size_t>(id.stage)];
   const bool made =
-    id.attempt >= 1 && id.attempt <= static_cast<int>(stage.tries.size());
-  return made ? &stage.tries[static_cast<std::size_t>(id.attempt - 1)]
+    id.attempt >= 1 && id.attempt <= static_cast<int>(stage.states.size());
+  return made ? &stage.states[static_cast<std::size_t>(id.attempt - 1)]
               : nullptr;
 }
 
@@ -27,9 +27,9 @@
   if (attempts.stages.size() <= slot) {
     attempts.stages.resize(slot + 1);
   }
-  auto& tries = attempts.stages[slot].tries;
-  tries.push_back(AttemptState::Open);
-  return { attempts.request, stage, static_cast<int>(tries.size()) };
+  auto& states = attempts.stages[slot].states;
+  states.push_back(AttemptState::Open);
+  return { attempts.request, stage, static_cast<int>(states.size()) };
 }
 
 void AbandonAttempt(RequestAttempts& attempts, const AttemptId& id,
@@ -67,7 +67,7 @@
 RunState RunStateOf(const RequestAttempts& attempts)
 {
   for (const StageAttempts& stage : attempts.stages) {
-    for (const AttemptState state : stage.tries) {
+    for (const AttemptState state : stage.states) {
       if (state == AttemptState::Open) {
         return RunState::MayHaveRun;
       }
--- a/Source/Decision/wgAttempts.h
+++ b/Source/Decision/wgAttempts.h
@@ -12,8 +12,8 @@
 
 namespace wg {
 
-/** \brief Names one try of one stage of one request; an endpoint gives it
- * back with its answer.
+/** \brief Identifies one attempt at one stage of a request. An endpoint echoes
+ * it in its answer.
  */
 struct AttemptId
 {
@@ -29,44 +29,48 @@
   Abandoned
 };
 
-/** \brief What was done with a stage of a request so far. */
+/** \brief The attempts at one stage of a request. */
 struct StageAttempts
 {
-  std::vector<AttemptState> tries;
+  std::vector<AttemptState> states;
   bool answered = false;
 };
 
-/** \brief All tries of one request. */
+/** \brief All attempts of one request. */
 struct RequestAttempts
 {
   std::string request;
   std::vector<StageAttempts> stages;
-  bool mayHaveRun = false; // a try reached an endpoint that could run it
+  bool mayHaveRun = false; // an endpoint may have run an attempt
 };
 
-/** \brief What becomes of an answer. */
+/** \brief How an answer is handled. */
 enum class AnswerVerdict
 {
   Accept,
-  Late,      // its try was given up
-  Duplicate, // its stage has an answer
-  Foreign    // not of this request, or of no try that was made
+  Late,      // its attempt was abandoned
+  Duplicate, // its stage is already answered
+  Foreign    // of another request, or of an attempt that was never made
 };
 
-/** \brief Opens the next try of a stage. */
+/** \brief Opens the next attempt at a stage. */
 AttemptId OpenAttempt(RequestAttempts& attempts, int stage);
 
-/** \brief Gives a try up; what it may have done is noted. */
+/** \brief Abandons an open attempt, and records that the request may have run
+ * unless the endpoint was not reached.
+ */
 void AbandonAttempt(RequestAttempts& attempts, const AttemptId& id,
                     AttemptEnd end);
 
-/** \brief Judges an answer, and takes it in when it is to be accepted. */
+/** \brief Classifies an answer and, if it is accepted, marks its stage as
+ * answered.
+ */
 AnswerVerdict JudgeAnswer(RequestAttempts& attempts, const AttemptId& id);
 
-/** \brief What may be told the caller of a request that failed. */
+/** \brief Returns whether a failed request may have run, for its caller. */
 RunState RunStateOf(const RequestAttempts& attempts);
 
-/** \brief Whether a failed try may be followed by another. */
+/** \brief The state of a stage after a failed attempt. */
 struct RetryQuery
 {
   bool repeatable = true;
@@ -75,6 +79,10 @@
   int maxTries = 3;
   bool timeLeft = true;
 };
+
+/** \brief Returns whether another attempt may follow. A stage that is not
+ * repeatable is retried only if the endpoint was not reached.
+ */
 bool MayRetry(const RetryQuery& query);
 
 } // namespace wg
--- a/Source/Decision/wgCostLedger.h
+++ b/Source/Decision/wgCostLedger.h
@@ -9,7 +9,7 @@
 
 namespace wg {
 
-/** \brief For whom and for what an attempt was made. */
+/** \brief Account, pipeline and stage of an attempt. */
 struct CostKey
 {
   std::string account;
@@ -29,10 +29,12 @@
 enum class CostKind
 {
   Useful, // its answer was used
-  Wasted  // failed, or its request was given up
+  Wasted  // the attempt failed, or its request was abandoned
 };
 
-/** \brief What attempts cost; sums agree with what endpoints count. */
+/** \brief Total cost of the attempts at a stage. The sums agree with the
+ * counts of the endpoints.
+ */
 struct StageCost
 {
   std::uint64_t tries = 0;
@@ -44,7 +46,7 @@
 
 using CostLedger = absl::btree_map<CostKey, StageCost>;
 
-/** \brief One attempt's cost. */
+/** \brief The cost of one attempt. */
 struct AttemptCost
 {
   CostKind kind = CostKind::Useful;
@@ -53,6 +55,7 @@
   std::uint64_t tokens = 0;
 };
 
+/** \brief Adds the cost of one attempt to the ledger. */
 inline void AddCost(CostLedger& ledger, const CostKey& key,
                     const AttemptCost& cost)
 {
--- a/Source/Decision/wgDispatch.cxx
+++ b/Source/Decision/wgDispatch.cxx
@@ -7,7 +7,7 @@
 namespace wg {
 namespace {
 
-bool AnyPlace(const GroupState& group, PlaceRule rule)
+bool HasFreeSlot(const GroupState& group, PlaceRule rule)
 {
   return std::any_of(group.endpoints.begin(), group.endpoints.end(),
                      [rule](const EndpointState& endpoint) {
@@ -15,69 +15,71 @@
                      });
 }
 
-/** Quotas bind only while more is wanted than there are places; else they
- * would hold back what others have no use for. An account that the other
- * boxes do not know of yet may start one stage without waiting until they do.
+/** Quotas apply only while the demand exceeds the slots; otherwise they would
+ * leave slots idle. An account without a quota yet, because the other boxes do
+ * not know of it, may run one stage until the next division.
  */
 bool MayStartMore(const GroupState& group, const std::string& account,
-                  int running, bool anyShared)
+                  int running, bool sharedSlotFree)
 {
   if (!group.quota.contended) {
     return true;
   }
   auto found = group.quota.accounts.find(account);
   const bool isNew =
-    found == group.quota.accounts.end() || found->second.here == 0.0;
+    found == group.quota.accounts.end() || found->second.slotsHere == 0.0;
   if (isNew) {
     return running == 0;
   }
-  return anyShared && running < std::ceil(found->second.here);
+  return sharedSlotFree && running < std::ceil(found->second.slotsHere);
 }
 
-void ForgetQueries(GroupState& group, const std::vector<WaitingStage>& stages)
+void RemoveQueries(GroupState& group, const std::vector<WaitingStage>& stages)
 {
   for (const WaitingStage& stage : stages) {
     group.queries.erase(stage.ticket);
   }
 }
 
-/** A range of places, of all the places of a group in a row. */
-struct PlaceRange
+/** A range in the sequence of all slots of a group. */
+struct SlotRange
 {
   int first = 0;
   int end = 0;
 };
 
-/** Every box finds the same ranges from the same demands: each begins where
- * the one of the box before it ends.
+/** Returns this box's range of slots. All boxes derive the same ranges from
+ * the same demands: in the order of their names, each range begins where the
+ * one before it ends.
  */
-PlaceRange RangeOf(const std::string& self,
-                   absl::Span<const ShareDemand> demands,
-                   const PlaceDivision& division)
+SlotRange SlotRangeOf(const std::string& self,
+                      absl::Span<const ShareDemand> demands,
+                      const SlotDivision& division)
 {
   double before = 0.0;
   double own = 0.0;
   for (std::size_t i = 0; i < demands.size(); ++i) {
-    const double places = division.shares[i].places;
-    before += demands[i].box < self ? places : 0.0;
-    own += demands[i].box == self ? places : 0.0;
+    const double slots = division.shares[i].slots;
+    before += demands[i].box < self ? slots : 0.0;
+    own += demands[i].box == self ? slots : 0.0;
   }
   return { static_cast<int>(std::lround(before)),
            static_cast<int>(std::lround(before + own)) };
 }
 
-/** Deals the slots out level by level, so that each range has its slots at as
- * many endpoints as can be, and no slot is in two ranges.
+/** Numbers the slots round-robin over the endpoints, so that each range spans
+ * as many endpoints as possible and no slot is in two ranges, and sets how
+ * many slots of each endpoint are in this box's range.
  */
-void ShareSlots(absl::Span<EndpointState> endpoints, PlaceRange range)
+void AssignSlots(absl::Span<EndpointState> endpoints, SlotRange range)
 {
-  int deepest = 0;
+  int maxSlots = 0;
   for (EndpointState& endpoint : endpoints) {
     endpoint.share = 0;
-    deepest = std::max(deepest, endpoint.slots);
+    maxSlots = std::max(maxSlots, endpoint.slots);
   }
   int position = 0;
-  for (int level = 0; level < deepest && position < range.end; ++level) {
+  for (int level = 0; level < maxSlots && position < range.end; ++level) {
     for (EndpointState& endpoint : endpoints) {
       if (!TakesNewWork(endpoint) || level >= endpoint.slots) {
         continue;
@@ -107,22 +109,22 @@
   StartProbes(absl::MakeSpan(group.endpoints), now);
   round.hopeless = TakeHopeless(
     group.queue, now, ExpectedSeconds(group.service, group.priorSeconds));
-  ForgetQueries(group, round.hopeless);
-  while (AnyPlace(group, PlaceRule::Any)) {
-    const bool anyShared = AnyPlace(group, PlaceRule::Shared);
+  RemoveQueries(group, round.hopeless);
+  while (HasFreeSlot(group, PlaceRule::Any)) {
+    const bool sharedSlotFree = HasFreeSlot(group, PlaceRule::Shared);
     std::optional<WaitingStage> stage =
-      PopNext(group.queue,
-              [&group, anyShared](const std::string& account, int running) {
-                return MayStartMore(group, account, running, anyShared);
-              });
+      PopNext(group.queue, [&group, sharedSlotFree](const std::string& account,
+                                                    int running) {
+        return MayStartMore(group, account, running, sharedSlotFree);
+      });
     if (!stage) {
       break;
     }
     RouteQuery query = group.queries[stage->ticket];
     group.queries.erase(stage->ticket);
     query.now = now;
-    query.rule =
-      group.quota.contended && anyShared ? PlaceRule::Shared : PlaceRule::Any;
+    query.rule = group.quota.contended && sharedSlotFree ? PlaceRule::Shared
+                                                         : PlaceRule::Any;
     std::optional<RouteDecision> route =
       ChooseEndpoint(group.policy, group.endpoints, query, group.prefixes,
                      group.roundRobin, random);
@@ -141,7 +143,7 @@
     Observe(group.service, seconds);
     EarnRetry(group.retries);
   } else if (end == AttemptEnd::OutOfTime && seconds > group.service.mean) {
-    Observe(group.service, seconds); // it takes at least so long
+    Observe(group.service, seconds); // a lower bound of the service time
   }
   return NoteAttemptEnd(absl::MakeSpan(group.endpoints), grant.route.endpoint,
                         end, seconds, now);
@@ -149,44 +151,44 @@
 
 double CountPlaces(const GroupState& group)
 {
-  double places = 0.0;
+  double slots = 0.0;
   for (const EndpointState& endpoint : group.endpoints) {
-    places += TakesNewWork(endpoint) ? endpoint.slots : 0;
+    slots += TakesNewWork(endpoint) ? endpoint.slots : 0;
   }
-  return places;
+  return slots;
 }
 
 void SetQuota(GroupState& group, const std::string& self,
               absl::Span<const ShareDemand> demands)
 {
-  const double places = CountPlaces(group);
-  const PlaceDivision division = DividePlaces(places, demands);
+  const double slots = CountPlaces(group);
+  const SlotDivision division = DivideSlots(slots, demands);
   GroupQuota quota;
   quota.known = true;
   quota.unused = division.unused;
-  quota.perWeight = division.perWeight;
+  quota.slotsPerWeight = division.slotsPerWeight;
   double wanted = 0.0;
-  absl::flat_hash_map<std::string, double> given;
+  absl::flat_hash_map<std::string, double> allotted;
   for (std::size_t i = 0; i < demands.size(); ++i) {
     const ShareDemand& demand = demands[i];
     AccountQuota& account = quota.accounts[demand.account];
-    given[demand.account] += division.shares[i].places;
+    allotted[demand.account] += division.shares[i].slots;
     wanted += demand.wanted;
     if (demand.box == self) {
-      account.here = division.shares[i].places;
+      account.slotsHere = division.shares[i].slots;
       account.aheadHere = demand.wanted + demand.coming;
     } else {
       account.aheadElsewhere += demand.wanted + demand.coming;
     }
   }
   for (const ShareDemand& demand : demands) {
-    quota.accounts[demand.account].ifHungry =
-      PlacesIfHungry(division, demand.weight, given[demand.account]);
+    quota.accounts[demand.account].slotsIfBacklogged =
+      SlotsIfBacklogged(division, demand.weight, allotted[demand.account]);
   }
-  quota.contended = wanted > places;
+  quota.contended = wanted > slots;
   group.quota = std::move(quota);
-  ShareSlots(absl::MakeSpan(group.endpoints),
-             RangeOf(self, demands, division));
+  AssignSlots(absl::MakeSpan(group.endpoints),
+              SlotRangeOf(self, demands, division));
 }
 
 } // namespace wg
--- a/Source/Decision/wgDispatch.h
+++ b/Source/Decision/wgDispatch.h
@@ -15,40 +15,48 @@
 
 namespace wg {
 
-/** \brief Where a waiting stage is to run. */
+/** \brief A stage that was granted a slot, and the endpoint chosen for it. */
 struct Grant
 {
   WaitingStage stage;
   RouteDecision route;
 };
 
-/** \brief What a round of dispatching decided. */
+/** \brief The result of one round of dispatching. */
 struct DispatchRound
 {
   std::vector<Grant> grants;
-  std::vector<WaitingStage> hopeless; // to be answered at once
+  /** Stages that can no longer meet their deadlines, to be refused at once. */
+  std::vector<WaitingStage> hopeless;
 };
 
-/** \brief What one account may use and asks for, over all entry boxes. */
+/** \brief Slots and demand of one account in a group, over all entry boxes. */
 struct AccountQuota
 {
-  double here = 0.0;           // places through this box while contended
-  double ifHungry = 0.0;       // places over all boxes if it wanted them all
-  double aheadElsewhere = 0.0; // running, waiting and coming at other boxes
-  double aheadHere = 0.0;      // the same at this one, at that time
+  /** Slots through this box while the group is contended. */
+  double slotsHere = 0.0;
+  /** Slots over all boxes if the account were backlogged. */
+  double slotsIfBacklogged = 0.0;
+  /** Running, waiting and upcoming stages at the other boxes. */
+  double aheadElsewhere = 0.0;
+  /** The same at this box, when the quota was computed. */
+  double aheadHere = 0.0;
 };
 
-/** \brief What the entry boxes last told one another of a group. */
+/** \brief The division of a group's slots by the latest demands that the entry
+ * boxes exchanged.
+ */
 struct GroupQuota
 {
   absl::flat_hash_map<std::string, AccountQuota> accounts;
-  bool contended = false; // more is wanted than there are places
-  double unused = 0.0;    // places that nobody wants
-  double perWeight = 0.0; // places of an account that wants more, by weight
-  bool known = false;     // false: no division was made yet
+  bool contended = false; // the total demand exceeds the slots
+  double unused = 0.0;    // slots without demand
+  /** Slots per unit of weight of an account whose demand is not met. */
+  double slotsPerWeight = 0.0;
+  bool known = false; // whether the slots were divided yet
 };
 
-/** \brief All that one entry knows of one endpoint group. */
+/** \brief The state of one endpoint group at one entry box. */
 struct GroupState
 {
   std::string name;
@@ -57,30 +65,38 @@
   FairQueue queue;
   RetryBudget retries;
   PrefixTable prefixes;
-  TimeEstimate service; // of the whole group
+  TimeEstimate service; // service time over all endpoints of the group
   GroupQuota quota;
   std::uint64_t roundRobin = 0;
-  std::uint64_t choices = 0; // made so far
+  std::uint64_t choices = 0; // number of routing choices so far
   RoutePolicy policy = RoutePolicy::ExpectedFinish;
   absl::flat_hash_map<std::uint64_t, RouteQuery> queries; // by ticket
-  absl::flat_hash_map<std::string, int> upcoming; // admitted, not yet here
+  /** By account: admitted requests whose stage here is not queued yet. */
+  absl::flat_hash_map<std::string, int> upcoming;
 };
 
-/** \brief Queues a stage of a request. */
+/** \brief Queues a stage of a request.
+ * \param query how its endpoint is to be chosen
+ * \return as Push
+ */
 Reason Enqueue(GroupState& group, WaitingStage stage, const RouteQuery& query);
 
-/** \brief Grants places to waiting stages in fair turn, while there are. */
+/** \brief Grants free slots to waiting stages in fair order. */
 DispatchRound Dispatch(GroupState& group, Elapsed now, absl::BitGenRef random);
 
-/** \brief Takes the end of a granted stage in. True: health changed. */
+/** \brief Records the end of a granted stage.
+ * \param seconds how long the attempt took
+ * \return whether the health state of its endpoint changed
+ */
 bool Finish(GroupState& group, const Grant& grant, AttemptEnd end,
             double seconds, Elapsed now);
 
-/** \brief Places of all endpoints that take new work. */
+/** \brief Returns the number of slots of all endpoints that take new work. */
 double CountPlaces(const GroupState& group);
 
-/** \brief Divides the group's places between accounts and entry boxes.
- * \param self this box's name among those in the demands
+/** \brief Divides the group's slots between accounts and entry boxes.
+ * \param self name of this box in the demands
+ * \param demands at all entry boxes
  */
 void SetQuota(GroupState& group, const std::string& self,
               absl::Span<const ShareDemand> demands);
--- a/Source/Decision/wgEstimate.cxx
+++ b/Source/Decision/wgEstimate.cxx
@@ -7,15 +7,16 @@
 namespace wg {
 namespace {
 
-constexpr double SmallestGain = 0.04;
-constexpr int FullTrustSamples = 4;
+constexpr double MinGain = 0.04;
+/** Number of observations from which the prior is ignored. */
+constexpr int SamplesWithoutPrior = 4;
 
 } // namespace
 
 void Observe(TimeEstimate& estimate, double seconds)
 {
   ++estimate.samples;
-  const double gain = std::max(SmallestGain, 1.0 / estimate.samples);
+  const double gain = std::max(MinGain, 1.0 / estimate.samples);
   const double error = seconds - estimate.mean;
   estimate.mean += gain * error;
   estimate.spread += gain * (std::abs(error) - estimate.spread);
@@ -23,9 +24,9 @@
 
 double ExpectedSeconds(const TimeEstimate& estimate, double priorSeconds)
 {
-  const double trust =
-    std::min(1.0, static_cast<double>(estimate.samples) / FullTrustSamples);
-  return trust * estimate.mean + (1.0 - trust) * priorSeconds;
+  const double meanWeight =
+    std::min(1.0, static_cast<double>(estimate.samples) / SamplesWithoutPrior);
+  return meanWeight * estimate.mean + (1.0 - meanWeight) * priorSeconds;
 }
 
 } // namespace wg
--- a/Source/Decision/wgEstimate.h
+++ b/Source/Decision/wgEstimate.h
@@ -5,7 +5,7 @@
 
 namespace wg {
 
-/** \brief A moving mean of a time, and of its spread, in seconds. */
+/** \brief Moving mean and mean absolute deviation of a time, in seconds. */
 struct TimeEstimate
 {
   double mean = 0.0;
@@ -13,10 +13,12 @@
   int samples = 0;
 };
 
-/** \brief Takes one more observation in. */
+/** \brief Adds one observation. */
 void Observe(TimeEstimate& estimate, double seconds);
 
-/** \brief The mean, or the prior while there are few observations. */
+/** \brief Returns the mean, blended with the prior while there are few
+ * observations.
+ */
 double ExpectedSeconds(const TimeEstimate& estimate, double priorSeconds);
 
 } // namespace wg
--- a/Source/Decision/wgFairQueue.cxx
+++ b/Source/Decision/wgFairQueue.cxx
@@ -134,7 +134,7 @@
 std::vector<WaitingStage> TakeHopeless(FairQueue& queue, Elapsed now,
                                        double stageSeconds)
 {
-  std::vector<WaitingStage> hopeless;
+  std::vector<WaitingStage> infeasible;
   std::vector<std::string> emptied;
   for (const StartTagKey& key : queue.backlogged) {
     AccountQueue& entry = queue.accounts[key.account];
@@ -144,7 +144,7 @@
         continue;
       }
       const WaitingKey position = at->first;
-      hopeless.push_back(TakeOut(queue, entry, at));
+      infeasible.push_back(TakeOut(queue, entry, at));
       at = entry.waiting.upper_bound(position);
     }
     if (entry.waiting.empty()) {
@@ -155,7 +155,7 @@
     LeaveTurn(queue, account, queue.accounts[account]);
     RemoveIfIdle(queue, account);
   }
-  return hopeless;
+  return infeasible;
 }
 
 void Settle(FairQueue& queue, const std::string& account, double expectedCost,
--- a/Source/Decision/wgOutlook.cxx
+++ b/Source/Decision/wgOutlook.cxx
@@ -7,20 +7,22 @@
 
 namespace {
 
-constexpr double LeastShrink = 0.7;
-constexpr double EnoughToJudge = 4.0;
+constexpr double MinGrowth = 0.7;
+/** Below this number of stages at this box, the ratio is not significant. */
+constexpr double MinAheadHere = 4.0;
 
-/** What the other boxes have by now: since they told, theirs will have shrunk
- * about as our own has. That theirs has grown is not assumed: it refused more
- * in bursts than it saved in late answers.
+/** Estimates the stages ahead at the other boxes now. Since their last report,
+ * that number is assumed to have fallen by the same ratio as at this box.
+ * Growth is not assumed: during bursts this refused more requests than it
+ * avoided late answers.
  */
 double AheadElsewhereNow(const AccountQuota& quota, double aheadHereNow)
 {
-  if (quota.aheadHere < EnoughToJudge) {
+  if (quota.aheadHere < MinAheadHere) {
     return quota.aheadElsewhere;
   }
   const double growth = aheadHereNow / quota.aheadHere;
-  return quota.aheadElsewhere * std::clamp(growth, LeastShrink, 1.0);
+  return quota.aheadElsewhere * std::clamp(growth, MinGrowth, 1.0);
 }
 
 } // namespace
@@ -31,8 +33,8 @@
   StageOutlook outlook;
   outlook.serviceSeconds = ExpectedSeconds(group.service, group.priorSeconds);
   outlook.spreadSeconds = group.service.spread;
-  const double places = CountPlaces(group);
-  outlook.anyEndpoint = places > 0;
+  const double slots = CountPlaces(group);
+  outlook.anyEndpoint = slots > 0;
   auto queued = group.queue.accounts.find(account);
   if (queued != group.queue.accounts.end()) {
     outlook.ahead += static_cast<double>(queued->second.waiting.size());
@@ -46,11 +48,11 @@
   auto known = quota.accounts.find(account);
   if (known != quota.accounts.end()) {
     outlook.ahead += AheadElsewhereNow(known->second, outlook.ahead);
-    outlook.places = known->second.ifHungry;
+    outlook.slots = known->second.slotsIfBacklogged;
   } else if (quota.known) {
-    outlook.places = std::max(quota.perWeight * weight, quota.unused);
+    outlook.slots = std::max(quota.slotsPerWeight * weight, quota.unused);
   } else {
-    outlook.places = places;
+    outlook.slots = slots;
   }
   return outlook;
 }
--- a/Source/Decision/wgOutlook.h
+++ b/Source/Decision/wgOutlook.h
@@ -8,12 +8,14 @@
 
 namespace wg {
 
-/** \brief What a stage of an account's request will meet at a group. */
+/** \brief Estimates service time, stages ahead and slots for a new request of
+ * an account at a group.
+ */
 StageOutlook OutlookFor(const GroupState& group, const std::string& account,
                         double weight);
 
-/** \brief Counts an admitted request that is still to come to a group (+1),
- * or that has come or will not (-1).
+/** \brief Changes the number of upcoming requests of an account at a group: +1
+ * when one is admitted, -1 when its stage is queued or will not be.
  */
 void CountUpcoming(GroupState& group, const std::string& account, int change);
 
--- a/Source/Decision/wgRetryBudget.h
+++ b/Source/Decision/wgRetryBudget.h
@@ -5,20 +5,23 @@
 
 namespace wg {
 
-/** \brief Extra tries that may be made, earned as a share of successes. */
+/** \brief Retries that may be made, earned as a fraction of successes. */
 struct RetryBudget
 {
-  double share = 0.1; // extra tries per success
+  double ratio = 0.1; // retries per success
   double cap = 10.0;
   double tokens = 3.0;
 };
 
+/** \brief Credits the budget for one success. */
 inline void EarnRetry(RetryBudget& budget)
 {
-  budget.tokens = std::min(budget.cap, budget.tokens + budget.share);
+  budget.tokens = std::min(budget.cap, budget.tokens + budget.ratio);
 }
 
-/** \brief Takes one extra try, when there is one. */
+/** \brief Spends one retry.
+ * \return false if the budget is exhausted
+ */
 inline bool SpendRetry(RetryBudget& budget)
 {
   if (budget.tokens < 1.0) {
--- a/Source/Decision/wgShares.cxx
+++ b/Source/Decision/wgShares.cxx
@@ -8,70 +8,69 @@
 namespace wg {
 namespace {
 
-/** One account's demand over all boxes, and what it is given. */
-struct AccountShare
+/** Demand and slots of one account over all boxes. */
+struct Allotment
 {
   double weight = 1.0;
   double wanted = 0.0;
-  double given = 0.0;
+  double allotted = 0.0;
 };
 
-using AccountShares = absl::btree_map<std::string, AccountShare>;
+using Allotments = absl::btree_map<std::string, Allotment>;
 
-/** Gives by weight, accounts that want least first, until nothing is left.
- * What the last one could still have had by weight is the level that all who
- * want more stand at.
+/** Allots slots by weight, in ascending order of demand per weight, until none
+ * is left. The slots per weight available to the last account are the level of
+ * all accounts whose demand is not met.
  */
-void FillByWeight(double places, AccountShares& accounts,
-                  PlaceDivision& division)
+void FillByWeight(double slots, Allotments& accounts, SlotDivision& division)
 {
-  std::vector<AccountShare*> open;
+  std::vector<Allotment*> ascending;
   double weightLeft = 0.0;
   for (auto& [name, account] : accounts) {
-    open.push_back(&account);
+    ascending.push_back(&account);
     weightLeft += account.weight;
   }
-  std::sort(open.begin(), open.end(),
-            [](const AccountShare* a, const AccountShare* b) {
+  std::sort(ascending.begin(), ascending.end(),
+            [](const Allotment* a, const Allotment* b) {
               return a->wanted / a->weight < b->wanted / b->weight;
             });
-  for (AccountShare* account : open) {
-    division.perWeight = places / weightLeft;
-    account->given =
-      std::min(account->wanted, division.perWeight * account->weight);
-    places -= account->given;
+  for (Allotment* account : ascending) {
+    division.slotsPerWeight = slots / weightLeft;
+    account->allotted =
+      std::min(account->wanted, division.slotsPerWeight * account->weight);
+    slots -= account->allotted;
     weightLeft -= account->weight;
   }
-  division.unused = places;
+  division.unused = slots;
 }
 
 } // namespace
 
-PlaceDivision DividePlaces(double places,
-                           absl::Span<const ShareDemand> demands)
+SlotDivision DivideSlots(double slots, absl::Span<const ShareDemand> demands)
 {
-  AccountShares accounts;
+  Allotments accounts;
   for (const ShareDemand& demand : demands) {
-    AccountShare& account = accounts[demand.account];
+    Allotment& account = accounts[demand.account];
     account.weight = std::max(demand.weight, 1e-6);
     account.wanted += demand.wanted;
   }
-  PlaceDivision division;
-  FillByWeight(places, accounts, division);
+  SlotDivision division;
+  FillByWeight(slots, accounts, division);
   for (const ShareDemand& demand : demands) {
-    const AccountShare& account = accounts[demand.account];
-    const double part =
+    const Allotment& account = accounts[demand.account];
+    const double fraction =
       account.wanted > 0.0 ? demand.wanted / account.wanted : 0.0;
     division.shares.push_back(
-      { demand.account, demand.box, account.given * part });
+      { demand.account, demand.box, account.allotted * fraction });
   }
   return division;
 }
 
-double PlacesIfHungry(const PlaceDivision& division, double weight,
-                      double given)
+double SlotsIfBacklogged(const SlotDivision& division, double weight,
+                         double allotted)
 {
-  return std::max(division.perWeight * weight, given + division.unused);
+  return std::max(division.slotsPerWeight * weight,
+                  allotted + division.unused);
 }
 
 } // namespace wg
--- a/Source/Decision/wgShares.h
+++ b/Source/Decision/wgShares.h
@@ -8,43 +8,43 @@
 
 namespace wg {
 
-/** \brief What one account asks of a group through one entry box. */
+/** \brief Demand of one account for slots of a group through one entry box. */
 struct ShareDemand
 {
   std::string account;
   double weight = 1.0;
   std::string box;
   int wanted = 0; // running and waiting stages
-  int coming = 0; // of admitted requests that are still at earlier stages
+  int coming = 0; // stages of admitted requests that are at earlier stages
 };
 
-/** \brief How many places an account gets through one entry box. */
-struct SharePlaces
+/** \brief The slots that an account gets through one entry box. */
+struct SlotShare
 {
   std::string account;
   std::string box;
-  double places = 0.0;
+  double slots = 0.0;
 };
 
-/** \brief How a group's places are divided. */
-struct PlaceDivision
+/** \brief A division of the slots of a group. */
+struct SlotDivision
 {
-  std::vector<SharePlaces> shares; // one for each demand, in its order
-  double perWeight = 0.0; // what an account that wants more gets, by weight
-  double unused = 0.0;    // places that nobody wants
+  std::vector<SlotShare> shares; // one for each demand, in its order
+  /** Slots per unit of weight of an account whose demand is not met. */
+  double slotsPerWeight = 0.0;
+  double unused = 0.0; // slots without demand
 };
 
-/** \brief Divides a group's places: between accounts by weight, each up to
- * what it wants, and within an account in proportion to what each box wants.
- * What one account leaves unused goes to the others.
+/** \brief Divides the slots of a group: between accounts by weighted max-min
+ * fairness, each up to its demand, and within an account in proportion to the
+ * demand at each box.
  */
-PlaceDivision DividePlaces(double places,
-                           absl::Span<const ShareDemand> demands);
+SlotDivision DivideSlots(double slots, absl::Span<const ShareDemand> demands);
 
-/** \brief The places that an account would get if it wanted all there are.
- * \param given what the division gave it, over all boxes
+/** \brief Returns the slots that an account would get with unlimited demand.
+ * \param allotted its slots in the division, over all boxes
  */
-double PlacesIfHungry(const PlaceDivision& division, double weight,
-                      double given);
+double SlotsIfBacklogged(const SlotDivision& division, double weight,
+                         double allotted);
 
 } // namespace wg
--- a/Source/Decision/wgTokenStream.h
+++ b/Source/Decision/wgTokenStream.h
@@ -8,21 +8,21 @@
 
 namespace wg {
 
-/** \brief The tokens of one generated text that the caller has got. */
+/** \brief The part of a generated text that was delivered to the caller. */
 struct TokenStream
 {
   std::string text;
-  std::size_t next = 0; // index of the token that must come next
+  std::size_t next = 0; // index of the next token
 };
 
 enum class TokenVerdict
 {
   Deliver,
-  Duplicate, // the caller has it; a resumed stream may repeat some
-  Gap        // one is missing: the stream must be resumed
+  Duplicate, // already delivered; a resumed stream may repeat tokens
+  Gap        // a token is missing: the stream must be resumed
 };
 
-/** \brief Judges a token by its index and takes it in when it is next. */
+/** \brief Classifies a token by its index and appends it if it is next. */
 inline TokenVerdict JudgeToken(TokenStream& stream, std::size_t index,
                                absl::string_view token)
 {
--- a/Tests/Decision/wgDecisionTest.cxx
+++ b/Tests/Decision/wgDecisionTest.cxx
@@ -52,7 +52,7 @@
 
 } // namespace
 
-TEST_CASE("a quiet account's stage comes next whatever a busy one has queued")
+TEST_CASE("a stage of an idle account waits for at most one of a busy account")
 {
   wg::FairQueue queue;
   for (std::uint64_t i = 1; i <= 1000; ++i) {
@@ -69,7 +69,7 @@
   CHECK(before <= 1);
 }
 
-TEST_CASE("accounts that always wait are served by weight")
+TEST_CASE("backlogged accounts are served by weight")
 {
   wg::FairQueue queue;
   for (std::uint64_t i = 1; i <= 600; ++i) {
@@ -83,7 +83,7 @@
   CHECK(served["three"] == Approx(300).margin(2));
 }
 
-TEST_CASE("an account that was away gets no credit for it")
+TEST_CASE("an account gets no credit for the time that it was idle")
 {
   wg::FairQueue queue;
   for (std::uint64_t i = 1; i <= 300; ++i) {
@@ -102,8 +102,8 @@
   CHECK(served["late"] <= 51);
 }
 
-TEST_CASE("within an account the earliest deadline goes first, and priority "
-          "is bounded")
+TEST_CASE("within an account the earliest deadline is served first, and the "
+          "effect of priority is bounded")
 {
   wg::FairQueue queue;
   wg::WaitingStage late = Stage(1, "a");
@@ -136,12 +136,12 @@
   CHECK(queue.bytes == 20);
 }
 
-TEST_CASE("what can no longer start in time is taken out at once")
+TEST_CASE("stages that can no longer start in time are removed at once")
 {
   wg::FairQueue queue;
-  wg::WaitingStage hopeless = Stage(1, "a");
-  hopeless.latestStart = absl::Seconds(1);
-  wg::Push(queue, hopeless);
+  wg::WaitingStage infeasible = Stage(1, "a");
+  infeasible.latestStart = absl::Seconds(1);
+  wg::Push(queue, infeasible);
   wg::Push(queue, Stage(2, "b"));
   const auto taken = wg::TakeHopeless(queue, absl::Seconds(2), 0.1);
   REQUIRE(taken.size() == 1);
@@ -150,19 +150,20 @@
   CHECK(queue.accounts.count("a") == 0);
 }
 
-TEST_CASE("a stage that turns out to take longer is given up at once")
+TEST_CASE(
+  "a stage is removed when the estimate of its service time rises too far")
 {
   wg::FairQueue queue;
   wg::WaitingStage stage = Stage(1, "a");
   stage.deadline = absl::Seconds(10);
-  stage.latestStart = absl::Seconds(9); // it was thought to take a second
+  stage.latestStart = absl::Seconds(9); // for an estimate of 1 s
   stage.laterSeconds = 2.0;
   wg::Push(queue, stage);
   CHECK(wg::TakeHopeless(queue, absl::Seconds(1), 1.0).empty());
   CHECK(wg::TakeHopeless(queue, absl::Seconds(1), 8.0).size() == 1);
 }
 
-TEST_CASE("no place is left unused while something waits")
+TEST_CASE("no slot is left idle while stages wait")
 {
   std::mt19937_64 random = Seeded();
   wg::GroupState group = Group(2, 3);
@@ -188,7 +189,7 @@
   CHECK(round.grants[0].route.endpoint == 0);
 }
 
-TEST_CASE("an endpoint that fails is ejected, probed and taken back")
+TEST_CASE("an endpoint that fails is ejected, probed and readmitted")
 {
   wg::GroupState group = Group(3, 4);
   absl::Span<wg::EndpointState> endpoints(group.endpoints);
@@ -248,7 +249,7 @@
   CHECK(endpoints[1].health.state == wg::HealthState::Healthy);
 }
 
-TEST_CASE("the router prefers the endpoint that will be done first")
+TEST_CASE("the router prefers the endpoint that is expected to finish first")
 {
   std::mt19937_64 random = Seeded();
   wg::GroupState group = Group(3, 4);
@@ -258,26 +259,26 @@
   for (auto& endpoint : group.endpoints) {
     endpoint.report.at = absl::ZeroDuration();
   }
-  std::uint64_t turn = 0;
+  std::uint64_t roundRobin = 0;
   const auto choice =
     wg::ChooseEndpoint(wg::RoutePolicy::ExpectedFinish, group.endpoints, {},
-                       group.prefixes, turn, random);
+                       group.prefixes, roundRobin, random);
   REQUIRE(choice);
   CHECK(choice->endpoint == 1);
   CHECK(choice->compared.size() == 3);
 }
 
-TEST_CASE("a cached prefix attracts, but not to an endpoint that is full")
+TEST_CASE("a cached prefix is preferred, but not at an endpoint that is full")
 {
   std::mt19937_64 random = Seeded();
   wg::GroupState group = Group(8, 4);
   wg::NotePrefix(group.prefixes, 77, 5);
   wg::RouteQuery query;
   query.prefix = 77;
-  std::uint64_t turn = 0;
+  std::uint64_t roundRobin = 0;
   const auto choose = [&] {
     return wg::ChooseEndpoint(wg::RoutePolicy::ExpectedFinish, group.endpoints,
-                              query, group.prefixes, turn, random)
+                              query, group.prefixes, roundRobin, random)
       ->endpoint;
   };
   CHECK(choose() == 5);
@@ -286,7 +287,9 @@
   CHECK(choose() != 5);
 }
 
-TEST_CASE("a stage is tried again only when that is safe")
+TEST_CASE(
+  "only repeatable stages are retried once an endpoint was reached, and "
+  "no stage beyond the limit")
 {
   wg::RetryQuery query;
   query.repeatable = false;
@@ -301,11 +304,11 @@
   CHECK_FALSE(wg::MayRetry(query));
 }
 
-TEST_CASE("extra tries stay a share of successes")
+TEST_CASE("retries are limited to a fraction of the successes")
 {
   wg::RetryBudget budget;
   int extra = 0;
-  for (int i = 0; i < 10000; ++i) { // a whole stage is down
+  for (int i = 0; i < 10000; ++i) { // all endpoints of a stage are down
     extra += wg::SpendRetry(budget) ? 1 : 0;
   }
   CHECK(extra <= 3);
@@ -316,7 +319,8 @@
   CHECK(budget.tokens <= budget.cap);
 }
 
-TEST_CASE("late, doubled and foreign answers are told apart and dropped")
+TEST_CASE(
+  "late, duplicate and mismatched answers are classified and not accepted")
 {
   wg::RequestAttempts attempts;
   attempts.request = "r1";
@@ -336,7 +340,7 @@
   CHECK(wg::JudgeAnswer(attempts, second) == wg::AnswerVerdict::Duplicate);
 }
 
-TEST_CASE("not run is said only when nothing can have run")
+TEST_CASE("a request counts as not run only if no attempt can have run")
 {
   wg::RequestAttempts attempts;
   attempts.request = "r";
@@ -350,7 +354,7 @@
   CHECK(wg::RunStateOf(attempts) == wg::RunState::MayHaveRun);
 }
 
-TEST_CASE("a resumed stream gives each token once, in order")
+TEST_CASE("a resumed stream delivers each token once, in order")
 {
   wg::TokenStream stream;
   CHECK(wg::JudgeToken(stream, 0, "a") == wg::TokenVerdict::Deliver);
@@ -361,22 +365,22 @@
   CHECK(stream.text == "abc");
 }
 
-TEST_CASE("places are divided by weight and need, and none is left over")
+TEST_CASE("slots are divided by weight and demand, and none is left over")
 {
-  const auto division = wg::DividePlaces(
+  const auto division = wg::DivideSlots(
     12.0, std::vector<wg::ShareDemand>{ { "busy", 1.0, "box1", 90 },
                                         { "busy", 1.0, "box2", 10 },
                                         { "quiet", 1.0, "box2", 2 } });
   const auto& shares = division.shares;
   CHECK(division.unused == Approx(0.0));
-  CHECK(wg::PlacesIfHungry(division, 1.0, 2.0) == Approx(10.0));
+  CHECK(wg::SlotsIfBacklogged(division, 1.0, 2.0) == Approx(10.0));
   REQUIRE(shares.size() == 3);
-  CHECK(shares[0].places == Approx(9.0));
-  CHECK(shares[1].places == Approx(1.0));
-  CHECK(shares[2].places == Approx(2.0));
+  CHECK(shares[0].slots == Approx(9.0));
+  CHECK(shares[1].slots == Approx(1.0));
+  CHECK(shares[2].slots == Approx(2.0));
 }
 
-TEST_CASE("a request that can't be answered in time is refused at once")
+TEST_CASE("a request that cannot meet its deadline is refused at once")
 {
   std::mt19937_64 random = Seeded();
   std::vector<wg::StageOutlook> stages(2);
@@ -402,12 +406,13 @@
   limits.ratePerSecond = 90;
   limits.boxes = 9;
   int admitted = 0;
-  for (int ms = 0; ms < 10000; ++ms) { // 1000 a second ask at this box
+  for (int ms = 0; ms < 10000; ++ms) { // 1000 requests per second at this box
     const auto admission =
       wg::AdmitByLimits(use, limits, absl::Milliseconds(ms), random);
     admitted += admission.reason == wg::Reason::None ? 1 : 0;
   }
-  CHECK(admitted == Approx(110).margin(2)); // one second's burst, ten more
+  // A burst of 10, then 10 per second for 10 s.
+  CHECK(admitted == Approx(110).margin(2));
   limits = {};
   limits.concurrency = 5;
   limits.runningElsewhere = 4;
@@ -420,7 +425,7 @@
     wg::Reason::AccountConcurrency);
 }
 
-TEST_CASE("costs are kept apart and add up")
+TEST_CASE("useful and wasted costs are counted separately and add up")
 {
   wg::CostLedger ledger;
   const wg::CostKey key{ "a", "p", "s" };
