--- a/Source/Decision/wgCoordinatorChoice.cxx
+++ b/Source/Decision/wgCoordinatorChoice.cxx
@@ -10,37 +10,38 @@
 namespace wg {
 namespace {
 
-constexpr double MilliInCore = 1000.0;
-/** Bounds the table if names of boxes are made up: some 400 kB. */
-constexpr std::size_t MostBoxes = 4096;
-/** 2^64, above all hashes. */
+constexpr double MilliPerCore = 1000.0;
+/** Bounds the table to about 400 kB if a peer sends invented box names. */
+constexpr std::size_t MaxBoxes = 4096;
+/** 2^64, the number of hash values. */
 constexpr double HashRange = 18446744073709551616.0;
 
-/** What the shares of all candidates say of one. */
+/** Figures over all candidates, in thousandths of a core. */
 struct ShareBounds
 {
-  std::uint32_t untold = 1; // the share of those that told none
-  std::uint32_t largestNear = 0;
-  std::uint32_t largestFar = 0;
+  std::uint32_t assumedShare = 1; // assumed for boxes without a valid share
+  std::uint32_t largestNear = 0;  // of boxes in the pool's hall
+  std::uint32_t largestFar = 0;   // of boxes in other halls
 };
 
 std::uint32_t ShareOf(const CoordinatorCandidate& candidate,
                       const ShareBounds& bounds)
 {
-  return IsSoundShare(candidate.cpuMilli) ? candidate.cpuMilli : bounds.untold;
+  return IsSoundShare(candidate.cpuMilli) ? candidate.cpuMilli
+                                          : bounds.assumedShare;
 }
 
 ShareBounds FindBounds(absl::Span<const CoordinatorCandidate> candidates)
 {
   ShareBounds bounds;
-  std::uint32_t smallest = MostCpuMilli + 1;
+  std::uint32_t smallest = MaxCpuMilli + 1;
   for (const CoordinatorCandidate& candidate : candidates) {
     if (IsSoundShare(candidate.cpuMilli)) {
       smallest = std::min(smallest, candidate.cpuMilli);
     }
   }
-  if (smallest <= MostCpuMilli) {
-    bounds.untold = smallest;
+  if (smallest <= MaxCpuMilli) {
+    bounds.assumedShare = smallest;
   }
   for (const CoordinatorCandidate& candidate : candidates) {
     std::uint32_t& largest =
@@ -50,7 +51,9 @@
   return bounds;
 }
 
-/** How often a share must be doubled to be at least half of the largest. */
+/** Returns how often the share must be doubled to reach at least half of the
+ * largest share; 0 is the preferred tier.
+ */
 int TierOf(std::uint64_t share, std::uint64_t largest)
 {
   int tier = 0;
@@ -60,51 +63,52 @@
   return tier;
 }
 
+/** Returns the score of weighted rendezvous hashing; the lowest score wins. */
 double RendezvousScore(std::uint64_t hash, std::uint32_t weight)
 {
   const double h = (static_cast<double>(hash) + 1.0) / HashRange;
   return -std::log(h) / weight;
 }
 
-/** Whether the first goes before the second. */
-bool GoesBefore(const CoordinatorCandidate& first,
-                const CoordinatorCandidate& second, const ShareBounds& bounds)
+/** Returns whether the first candidate is preferred to the second. */
+bool IsPreferred(const CoordinatorCandidate& first,
+                 const CoordinatorCandidate& second, const ShareBounds& bounds)
 {
   if (first.isNear != second.isNear) {
     return first.isNear;
   }
-  const std::uint32_t share = ShareOf(first, bounds);
-  const std::uint32_t otherShare = ShareOf(second, bounds);
-  if (share == otherShare) {
-    // Not by score: rounding would make some equal.
+  const std::uint32_t firstShare = ShareOf(first, bounds);
+  const std::uint32_t secondShare = ShareOf(second, bounds);
+  if (firstShare == secondShare) {
+    // Compares hashes, as rounding can make their scores equal.
     return first.hash > second.hash;
   }
   const std::uint32_t largest =
     first.isNear ? bounds.largestNear : bounds.largestFar;
-  const int tier = TierOf(share, largest);
-  const int otherTier = TierOf(otherShare, largest);
-  if (tier != otherTier) {
-    return tier < otherTier;
+  const int firstTier = TierOf(firstShare, largest);
+  const int secondTier = TierOf(secondShare, largest);
+  if (firstTier != secondTier) {
+    return firstTier < secondTier;
   }
-  return RendezvousScore(first.hash, share) <
-         RendezvousScore(second.hash, otherShare);
+  return RendezvousScore(first.hash, firstShare) <
+         RendezvousScore(second.hash, secondShare);
 }
 
 } // namespace
 
 bool IsSoundShare(std::uint32_t cpuMilli)
 {
-  return cpuMilli > 0 && cpuMilli <= MostCpuMilli;
+  return cpuMilli > 0 && cpuMilli <= MaxCpuMilli;
 }
 
 std::uint32_t ReadCpuShare(absl::string_view text)
 {
   double cores = 0;
-  const bool isRead =
+  const bool isNumber =
     absl::SimpleAtod(absl::StripAsciiWhitespace(text), &cores);
-  const double milli = std::round(cores * MilliInCore);
-  const bool isSound = isRead && milli >= 1 && milli <= MostCpuMilli;
-  return isSound ? static_cast<std::uint32_t>(milli) : 0;
+  const double milli = std::round(cores * MilliPerCore);
+  const bool isValid = isNumber && milli >= 1 && milli <= MaxCpuMilli;
+  return isValid ? static_cast<std::uint32_t>(milli) : 0;
 }
 
 std::size_t ChooseByShare(absl::Span<const CoordinatorCandidate> candidates)
@@ -115,7 +119,7 @@
     const CoordinatorCandidate& candidate = candidates[i];
     const bool isBetter =
       candidate.isAlive && (!candidates[best].isAlive ||
-                            GoesBefore(candidate, candidates[best], bounds));
+                            IsPreferred(candidate, candidates[best], bounds));
     if (isBetter) {
       best = i;
     }
@@ -124,44 +128,44 @@
 }
 
 std::uint32_t NoteShare(BoxShares& shares, const std::string& box,
-                        std::uint32_t told, Elapsed now)
+                        std::uint32_t reported, Elapsed now)
 {
-  const std::uint32_t sound = IsSoundShare(told) ? told : 0;
+  const std::uint32_t valid = IsSoundShare(reported) ? reported : 0;
   auto found = shares.boxes.find(box);
   if (found == shares.boxes.end()) {
-    if (shares.boxes.size() >= MostBoxes) {
+    if (shares.boxes.size() >= MaxBoxes) {
       return 0;
     }
-    shares.boxes[box] = { sound, sound };
-    return sound;
+    shares.boxes[box] = { valid, valid };
+    return valid;
   }
   BoxShares::Share& share = found->second;
-  if (sound > 0 && sound != share.told) {
-    share.told = sound;
-    shares.firstNews = std::min(shares.firstNews, now);
-    shares.lastNews = now;
+  if (valid > 0 && valid != share.reported) {
+    share.reported = valid;
+    shares.firstPendingChange = std::min(shares.firstPendingChange, now);
+    shares.lastPendingChange = now;
   }
   return share.inEffect;
 }
 
 void SettleShares(BoxShares& shares, Elapsed now)
 {
-  const bool isDue =
-    HasUnsettled(shares) && (now - shares.lastNews >= ShareSettleTime ||
-                             now - shares.firstNews >= ShareSettleMost);
+  const bool isDue = HasUnsettled(shares) &&
+                     (now - shares.lastPendingChange >= ShareSettleTime ||
+                      now - shares.firstPendingChange >= MaxShareSettleTime);
   if (!isDue) {
     return;
   }
   for (auto& [box, share] : shares.boxes) {
-    share.inEffect = share.told;
+    share.inEffect = share.reported;
   }
-  shares.firstNews = absl::InfiniteDuration();
-  shares.lastNews = absl::InfiniteDuration();
+  shares.firstPendingChange = absl::InfiniteDuration();
+  shares.lastPendingChange = absl::InfiniteDuration();
 }
 
 bool HasUnsettled(const BoxShares& shares)
 {
-  return shares.firstNews != absl::InfiniteDuration();
+  return shares.firstPendingChange != absl::InfiniteDuration();
 }
 
 } // namespace wg
--- a/Source/Decision/wgCoordinatorChoice.h
+++ b/Source/Decision/wgCoordinatorChoice.h
@@ -13,81 +13,105 @@
 
 namespace wg {
 
-/** \brief The largest share of a core that is accepted, in thousandths: 1,000
- * cores, far above any box. Larger values come from faults or damage.
+/** \brief The largest accepted CPU share of a box, in thousandths of a core.
+ *
+ * 1,000 cores are far above any real box; a larger value is a software fault
+ * or corrupt data.
  */
-constexpr std::uint32_t MostCpuMilli = 1000000;
+constexpr std::uint32_t MaxCpuMilli = 1000000;
 
-/** \brief Reported shares that change within this time of each other take
- * effect together. Boxes call each control box once a second.
+/** \brief Changed CPU shares take effect together once no share has changed
+ * for this time. Boxes call each control box once a second, so their first
+ * reports arrive within about a second of each other.
  */
 constexpr absl::Duration ShareSettleTime = absl::Seconds(2);
-/** \brief A changed share takes effect by then, even if others still change:
- * one box with a changing share must not hold up all others.
+/** \brief The longest time that a changed CPU share waits to take effect, so
+ * that one box whose share keeps changing does not delay all others.
  */
-constexpr absl::Duration ShareSettleMost = absl::Seconds(10);
+constexpr absl::Duration MaxShareSettleTime = absl::Seconds(10);
 
-/** \brief Whether it can be a box's share of a core, in thousandths. */
+/** \brief Returns whether a CPU share is valid: above 0 and at most
+ * MaxCpuMilli.
+ * \param cpuMilli thousandths of a core
+ */
 bool IsSoundShare(std::uint32_t cpuMilli);
 
-/** \brief Reads a share of a core, such as "0.09", in thousandths; 0 if it is
- * empty or can't be a share.
+/** \brief Parses a CPU share given in cores, such as "0.09".
+ * \return thousandths of a core; 0 if the text is no number or the share is
+ * not valid
  */
 std::uint32_t ReadCpuShare(absl::string_view text);
 
-/** \brief A box that may make the calls of a pool. */
+/** \brief A box that may become the coordinator of a pool. The coordinator
+ * makes the calls of the pool to its endpoints.
+ */
 struct CoordinatorCandidate
 {
   std::uint64_t hash = 0;     // of box and pool
-  std::uint32_t cpuMilli = 0; // share of a core in thousandths; 0: not told
-  bool isNear = true;         // in the pool's hall, if that has one
-  bool isAlive = true;
+  std::uint32_t cpuMilli = 0; // thousandths of a core; 0: not reported
+  bool isNear = true;         // in the pool's hall, or the pool has none
+  bool isAlive = true;        // not suspected, and its hall is reachable
 };
 
-/** \brief The index of the box that makes the calls of a pool.
+/** \brief Returns the index of the box that coordinates a pool.
+ *
+ * A coordinator spends processor time on each piece of its pool. A box with a
+ * small CPU share can't keep up with that, so larger boxes are preferred:
  *
- * The load: a pool's coordinator spends processor time on each piece of the
- * pool, which a box with a small share of a core can't keep up with.
+ * - Boxes in the pool's hall come before boxes of other halls.
+ * - Among these, boxes with at least half of the largest share come first.
+ * - Among these, weighted rendezvous hashing decides, with the share as the
+ *   weight. Between equal shares, the larger hash wins.
  *
- * Boxes in the pool's hall go first, and of these the ones with at least half
- * of the largest share. Among them weighted rendezvous hashing chooses, with
- * the share as the weight; equal shares leave the largest hash. The largest
- * share is taken over boxes that are not alive as well, so that a box which
- * leaves changes the choice only where it was chosen. A box without a share
- * counts as the smallest share of any. The first candidate is taken if none is
- * alive; there must be one.
+ * The largest share includes those of unreachable boxes. A box that becomes
+ * unreachable therefore moves only the pools that it coordinated. A box
+ * without a valid share counts as having the smallest valid share of all
+ * candidates.
+ *
+ * \param candidates at least one; if none is reachable, the result is 0
  */
 std::size_t ChooseByShare(absl::Span<const CoordinatorCandidate> candidates);
 
-/** \brief The reported shares of boxes, and which of them are in effect. */
+/** \brief The CPU shares that boxes have reported, and the shares that are in
+ * effect for the choice of coordinators.
+ */
 struct BoxShares
 {
   struct Share
   {
-    std::uint32_t inEffect = 0; // thousandths of a core; 0: not told
-    std::uint32_t told = 0;
+    std::uint32_t inEffect = 0; // thousandths of a core; 0: not reported
+    std::uint32_t reported = 0; // thousandths of a core; pending if different
   };
   std::map<std::string, Share> boxes;
-  Elapsed firstNews = absl::InfiniteDuration(); // of those not in effect
-  Elapsed lastNews = absl::InfiniteDuration();
+  /** Times of the first and the last change that is not yet in effect;
+   * infinite if there is none.
+   */
+  Elapsed firstPendingChange = absl::InfiniteDuration();
+  Elapsed lastPendingChange = absl::InfiniteDuration();
 };
 
-/** \brief Takes the share that a box was listed with; 0 if none was.
+/** \brief Records the CPU share that a list of boxes gives for a box.
  *
- * That of a box not listed before takes effect at once, as the box itself is
- * new to the choice. A later one waits, so that many that become known in
- * turn, as when the first control box of a newer version starts, change the
- * choice once. One that was told stays when a list names none: control boxes
- * of older versions don't.
- * \returns the share in effect
+ * The share of a box that was not listed before takes effect at once, because
+ * the box itself is new to the choice. A later change stays pending until
+ * SettleShares(). When the first control box of a newer version starts, the
+ * shares of all boxes become known one after another; they then change the
+ * choice only once. A missing or invalid share leaves the previous one,
+ * because control boxes of older versions list no shares.
+ *
+ * \param reported thousandths of a core; 0: the list gives none
+ * \return the share in effect, in thousandths of a core; 0 if none is known or
+ * the table is full
  */
 std::uint32_t NoteShare(BoxShares& shares, const std::string& box,
-                        std::uint32_t told, Elapsed now);
+                        std::uint32_t reported, Elapsed now);
 
-/** \brief Puts those into effect that have waited long enough. */
+/** \brief Puts all pending shares into effect once none has changed for
+ * ShareSettleTime, or the first pending change is MaxShareSettleTime old.
+ */
 void SettleShares(BoxShares& shares, Elapsed now);
 
-/** \brief Whether shares are known that are not in effect. */
+/** \brief Returns whether any changed share is not yet in effect. */
 bool HasUnsettled(const BoxShares& shares);
 
 } // namespace wg
--- a/Tests/Decision/wgCoordinatorChoiceTest.cxx
+++ b/Tests/Decision/wgCoordinatorChoiceTest.cxx
@@ -164,7 +164,7 @@
 
 TEST_CASE("The choice is that of before where shares are equal or not told")
 {
-  for (const std::uint32_t share : { 0U, Small, Large, wg::MostCpuMilli }) {
+  for (const std::uint32_t share : { 0U, Small, Large, wg::MaxCpuMilli }) {
     std::vector<Box> boxes = UnevenFleet();
     for (Box& box : boxes) {
       box.cpuMilli = share;
@@ -222,7 +222,7 @@
 
 TEST_CASE("A box without a sound share counts as the smallest that any told")
 {
-  for (const std::uint32_t garbage : { 0U, wg::MostCpuMilli + 1, ~0U }) {
+  for (const std::uint32_t garbage : { 0U, wg::MaxCpuMilli + 1, ~0U }) {
     std::vector<Box> boxes = UnevenFleet();
     std::vector<Box> sound = boxes;
     for (std::size_t i = 0; i < boxes.size(); i += 5) {
@@ -249,7 +249,7 @@
   CHECK(wg::ReadCpuShare("0.09") == 90);
   CHECK(wg::ReadCpuShare(" 0.3 ") == 300);
   CHECK(wg::ReadCpuShare("2") == 2000);
-  CHECK(wg::ReadCpuShare("1000") == wg::MostCpuMilli);
+  CHECK(wg::ReadCpuShare("1000") == wg::MaxCpuMilli);
   for (const char* text :
        { "", "0", "0.0004", "-1", "nan", "inf", "-inf", "1e300", "1000.1",
          "0.3 cores", "9%", "0,3", "{{limits.cpuQuota}}" }) {
