--- a/Source/Decision/wgCoordinatorChoice.cxx
+++ b/Source/Decision/wgCoordinatorChoice.cxx
@@ -16,10 +16,10 @@
 /** 2^64, the number of hash values. */
 constexpr double HashRange = 18446744073709551616.0;
 
-/** Figures over all candidates, in thousandths of a core. */
+/** In thousandths of a core. */
 struct ShareBounds
 {
-  std::uint32_t assumedShare = 1; // assumed for boxes without a valid share
+  std::uint32_t assumedShare = 1; // of boxes without a valid one
   std::uint32_t largestNear = 0;  // of boxes in the pool's hall
   std::uint32_t largestFar = 0;   // of boxes in other halls
 };
@@ -51,9 +51,7 @@
   return bounds;
 }
 
-/** Returns how often the share must be doubled to reach at least half of the
- * largest share; 0 is the preferred tier.
- */
+/** Returns how often a share must be doubled to reach half of the largest. */
 int TierOf(std::uint64_t share, std::uint64_t largest)
 {
   int tier = 0;
@@ -63,14 +61,13 @@
   return tier;
 }
 
-/** Returns the score of weighted rendezvous hashing; the lowest score wins. */
+/** The lowest score wins. */
 double RendezvousScore(std::uint64_t hash, std::uint32_t weight)
 {
   const double h = (static_cast<double>(hash) + 1.0) / HashRange;
   return -std::log(h) / weight;
 }
 
-/** Returns whether the first candidate is preferred to the second. */
 bool IsPreferred(const CoordinatorCandidate& first,
                  const CoordinatorCandidate& second, const ShareBounds& bounds)
 {
--- a/Source/Decision/wgCoordinatorChoice.h
+++ b/Source/Decision/wgCoordinatorChoice.h
@@ -13,37 +13,29 @@
 
 namespace wg {
 
-/** \brief The largest accepted CPU share of a box, in thousandths of a core.
- *
- * 1,000 cores are far above any real box; a larger value is a software fault
- * or corrupt data.
+/** \brief The largest valid CPU share: 1,000 cores, far above any real box.
+ * Larger values come from software faults or corrupt data.
  */
 constexpr std::uint32_t MaxCpuMilli = 1000000;
 
-/** \brief Changed CPU shares take effect together once no share has changed
- * for this time. Boxes call each control box once a second, so their first
- * reports arrive within about a second of each other.
+/** \brief Changed CPU shares take effect together once none has changed for
+ * this long. Boxes call each control box once a second.
  */
 constexpr absl::Duration ShareSettleTime = absl::Seconds(2);
-/** \brief The longest time that a changed CPU share waits to take effect, so
- * that one box whose share keeps changing does not delay all others.
+/** \brief A changed share waits no longer than this to take effect, so that
+ * one box whose share keeps changing does not delay the others.
  */
 constexpr absl::Duration MaxShareSettleTime = absl::Seconds(10);
 
-/** \brief Returns whether a CPU share is valid: above 0 and at most
- * MaxCpuMilli.
- * \param cpuMilli thousandths of a core
- */
 bool IsSoundShare(std::uint32_t cpuMilli);
 
-/** \brief Parses a CPU share given in cores, such as "0.09".
- * \return thousandths of a core; 0 if the text is no number or the share is
- * not valid
+/** \brief Parses a CPU share in cores, such as "0.09".
+ * \return thousandths of a core; 0 if invalid
  */
 std::uint32_t ReadCpuShare(absl::string_view text);
 
-/** \brief A box that may become the coordinator of a pool. The coordinator
- * makes the calls of the pool to its endpoints.
+/** \brief A box that may become a pool's coordinator, which makes the calls
+ * to the pool's endpoints.
  */
 struct CoordinatorCandidate
 {
@@ -55,26 +47,23 @@
 
 /** \brief Returns the index of the box that coordinates a pool.
  *
- * A coordinator spends processor time on each piece of its pool. A box with a
- * small CPU share can't keep up with that, so larger boxes are preferred:
+ * Coordinating takes processor time for each piece, and a box with a small CPU
+ * share can't keep up. Candidates are therefore ranked by:
  *
- * - Boxes in the pool's hall come before boxes of other halls.
- * - Among these, boxes with at least half of the largest share come first.
- * - Among these, weighted rendezvous hashing decides, with the share as the
- *   weight. Between equal shares, the larger hash wins.
+ * - being in the pool's hall;
+ * - having at least half of the largest share;
+ * - weighted rendezvous hashing with the share as the weight; between equal
+ *   shares the larger hash wins.
  *
- * The largest share includes those of unreachable boxes. A box that becomes
- * unreachable therefore moves only the pools that it coordinated. A box
- * without a valid share counts as having the smallest valid share of all
- * candidates.
+ * Unreachable boxes count for the largest share, so that a box that becomes
+ * unreachable moves only the pools that it coordinated. A box without a valid
+ * share counts as having the smallest valid share of all.
  *
  * \param candidates at least one; if none is reachable, the result is 0
  */
 std::size_t ChooseByShare(absl::Span<const CoordinatorCandidate> candidates);
 
-/** \brief The CPU shares that boxes have reported, and the shares that are in
- * effect for the choice of coordinators.
- */
+/** \brief The CPU shares that boxes have reported, and those in effect. */
 struct BoxShares
 {
   struct Share
@@ -83,35 +72,28 @@
     std::uint32_t reported = 0; // thousandths of a core; pending if different
   };
   std::map<std::string, Share> boxes;
-  /** Times of the first and the last change that is not yet in effect;
-   * infinite if there is none.
-   */
+  // Of the changes that are not yet in effect; infinite: there are none.
   Elapsed firstPendingChange = absl::InfiniteDuration();
   Elapsed lastPendingChange = absl::InfiniteDuration();
 };
 
 /** \brief Records the CPU share that a list of boxes gives for a box.
  *
- * The share of a box that was not listed before takes effect at once, because
- * the box itself is new to the choice. A later change stays pending until
- * SettleShares(). When the first control box of a newer version starts, the
- * shares of all boxes become known one after another; they then change the
- * choice only once. A missing or invalid share leaves the previous one,
- * because control boxes of older versions list no shares.
+ * The share of a newly listed box takes effect at once, because the box itself
+ * is new to the choice. A later change is pending until SettleShares(): when
+ * the first control box of a newer version starts, shares become known one
+ * after another and must change the choice only once. A missing share leaves
+ * the previous one, as control boxes of older versions list none.
  *
- * \param reported thousandths of a core; 0: the list gives none
- * \return the share in effect, in thousandths of a core; 0 if none is known or
- * the table is full
+ * \param reported thousandths of a core; 0: none
+ * \return the share in effect, in thousandths of a core; 0: none
  */
 std::uint32_t NoteShare(BoxShares& shares, const std::string& box,
                         std::uint32_t reported, Elapsed now);
 
-/** \brief Puts all pending shares into effect once none has changed for
- * ShareSettleTime, or the first pending change is MaxShareSettleTime old.
- */
+/** \brief Puts pending shares into effect if they have waited long enough. */
 void SettleShares(BoxShares& shares, Elapsed now);
 
-/** \brief Returns whether any changed share is not yet in effect. */
 bool HasUnsettled(const BoxShares& shares);
 
 } // namespace wg
--- a/Tests/Decision/wgCoordinatorChoiceTest.cxx
+++ b/Tests/Decision/wgCoordinatorChoiceTest.cxx
@@ -61,7 +61,7 @@
   return boxes[wg::ChooseByShare(Candidates(boxes, pool))];
 }
 
-/** The choice before boxes reported shares: in the hall, the largest hash. */
+/** The choice of versions without shares: the largest hash in the hall. */
 std::size_t ChooseByHash(
   const std::vector<wg::CoordinatorCandidate>& candidates)
 {
@@ -107,7 +107,7 @@
 
 } // namespace
 
-TEST_CASE("Large boxes make the calls of pools, spread over them")
+TEST_CASE("Pools are coordinated by large boxes and spread over them")
 {
   const std::vector<Box> boxes = UnevenFleet();
   std::map<std::string, int> pools;
@@ -123,18 +123,18 @@
   }
 }
 
-TEST_CASE("A box that leaves or is silent moves its own pools only")
+TEST_CASE("A box that leaves or is unreachable moves only its own pools")
 {
   const std::vector<Box> boxes = UnevenFleet();
   for (std::size_t gone = 0; gone < boxes.size(); ++gone) {
     std::vector<Box> without = boxes;
     without.erase(without.begin() + static_cast<std::ptrdiff_t>(gone));
-    std::vector<Box> silent = boxes;
-    silent[gone].isAlive = false;
+    std::vector<Box> unreachable = boxes;
+    unreachable[gone].isAlive = false;
     for (const Pool& pool : TwelvePools()) {
       const Box& before = Choose(boxes, pool);
       const Box& after = Choose(without, pool);
-      CHECK(Choose(silent, pool).name == after.name);
+      CHECK(Choose(unreachable, pool).name == after.name);
       if (before.name == boxes[gone].name) {
         CHECK(after.name != before.name);
         CHECK(after.cpuMilli == Large);
@@ -145,24 +145,24 @@
   }
 }
 
-TEST_CASE("A silent box that alone has the largest share moves no other pool")
+TEST_CASE("An unreachable box with the largest share moves no other pool")
 {
-  // Half of the largest share must not fall while a box is silent: boxes that
-  // were too small would take pools from others, and lose them again.
+  // If the limit of half of the largest share fell while a box is unreachable,
+  // boxes that were too small would take over pools and lose them again.
   const std::vector<Box> boxes = {
     { "a", "h", 1000 }, { "b", "h", 600 }, { "c", "h", 400 }, { "d", "h", 400 }
   };
-  std::vector<Box> silent = boxes;
-  silent[0].isAlive = false;
+  std::vector<Box> unreachable = boxes;
+  unreachable[0].isAlive = false;
   for (int i = 0; i < 200; ++i) {
     const Pool pool{ absl::StrCat("svc", i), "h" };
     const std::string before = Choose(boxes, pool).name;
     CHECK((before == "a" || before == "b"));
-    CHECK(Choose(silent, pool).name == "b");
+    CHECK(Choose(unreachable, pool).name == "b");
   }
 }
 
-TEST_CASE("The choice is that of before where shares are equal or not told")
+TEST_CASE("The largest hash wins if shares are equal or not reported")
 {
   for (const std::uint32_t share : { 0U, Small, Large, wg::MaxCpuMilli }) {
     std::vector<Box> boxes = UnevenFleet();
@@ -179,7 +179,7 @@
   }
 }
 
-TEST_CASE("Equal shares leave the largest hash, however close")
+TEST_CASE("Between equal shares the largest hash wins, however close")
 {
   const std::uint64_t most = ~std::uint64_t{ 0 };
   CHECK(wg::ChooseByShare(std::vector<wg::CoordinatorCandidate>{
@@ -188,7 +188,8 @@
           { 0, 5 }, { 1, 5 }, { 0, 5 } }) == 1);
 }
 
-TEST_CASE("Small boxes make calls only once no large one of the hall lives")
+TEST_CASE(
+  "Small boxes coordinate only if no large one in the hall is reachable")
 {
   for (const Pool& pool : TwelvePools()) {
     std::vector<Box> boxes = UnevenFleet();
@@ -206,7 +207,7 @@
   }
 }
 
-TEST_CASE("Pools are divided by share among boxes that are not small")
+TEST_CASE("Pools are divided by share among boxes with enough of a core")
 {
   const std::vector<Box> boxes = { { "a", "h", 300 },
                                    { "b", "h", 200 },
@@ -220,21 +221,21 @@
   CHECK(pools["c"] == 0);
 }
 
-TEST_CASE("A box without a sound share counts as the smallest that any told")
+TEST_CASE("A box without a valid share counts as the smallest reported")
 {
-  for (const std::uint32_t garbage : { 0U, wg::MaxCpuMilli + 1, ~0U }) {
+  for (const std::uint32_t invalid : { 0U, wg::MaxCpuMilli + 1, ~0U }) {
     std::vector<Box> boxes = UnevenFleet();
-    std::vector<Box> sound = boxes;
+    std::vector<Box> valid = boxes;
     for (std::size_t i = 0; i < boxes.size(); i += 5) {
-      boxes[i].cpuMilli = garbage;
-      sound[i].cpuMilli = Small;
+      boxes[i].cpuMilli = invalid;
+      valid[i].cpuMilli = Small;
     }
     for (const Pool& pool : TwelvePools()) {
-      CHECK(Choose(boxes, pool).name == Choose(sound, pool).name);
+      CHECK(Choose(boxes, pool).name == Choose(valid, pool).name);
     }
-    // A box that alone tells its share changes nothing.
+    // If only one box reports its share, it changes nothing.
     for (Box& box : boxes) {
-      box.cpuMilli = garbage;
+      box.cpuMilli = invalid;
     }
     boxes[60].cpuMilli = Large;
     for (const Pool& pool : TwelvePools()) {
@@ -244,7 +245,7 @@
   }
 }
 
-TEST_CASE("The share of a core is read strictly")
+TEST_CASE("CPU shares are parsed strictly")
 {
   CHECK(wg::ReadCpuShare("0.09") == 90);
   CHECK(wg::ReadCpuShare(" 0.3 ") == 300);
@@ -259,9 +260,9 @@
 
 TEST_CASE("Shares that become known in turn change the choice of a pool once")
 {
-  // The first control box of a newer version starts: 66 known boxes tell it
-  // their shares within a second, small and large ones mixed. Taken one by
-  // one, the first large box would be given all pools of its hall.
+  // The first control box of a newer version starts: 66 known boxes report
+  // their shares to it within a second. If each took effect at once, the first
+  // large box would get all pools of its hall.
   std::vector<Box> boxes = UnevenFleet();
   wg::BoxShares shares;
   wg::Elapsed now = absl::Seconds(100);
@@ -277,9 +278,10 @@
     now += absl::Milliseconds(100);
     wg::SettleShares(shares, now);
     for (std::size_t i = 0; i < boxes.size(); ++i) {
-      const bool isTold = static_cast<int>(i * 7 % boxes.size()) < step * 7;
-      seen[i].cpuMilli = wg::NoteShare(shares, boxes[i].name,
-                                       isTold ? boxes[i].cpuMilli : 0, now);
+      const bool isReported =
+        static_cast<int>(i * 7 % boxes.size()) < step * 7;
+      seen[i].cpuMilli = wg::NoteShare(
+        shares, boxes[i].name, isReported ? boxes[i].cpuMilli : 0, now);
     }
     for (const Pool& pool : TwelvePools()) {
       auto& turns = chosen[absl::StrCat(pool.service, "@", pool.hall)];
@@ -297,16 +299,16 @@
   }
 }
 
-TEST_CASE("A share that was told stays where a list names none")
+TEST_CASE("A reported share stays if a list gives none")
 {
   wg::BoxShares shares;
   const wg::Elapsed now = absl::Seconds(100);
-  // A box that was not known before is new to the choice with its share.
+  // The share of a newly listed box takes effect at once.
   CHECK(wg::NoteShare(shares, "a", Large, now) == Large);
   CHECK(wg::NoteShare(shares, "a", 0, now) == Large);
   CHECK(wg::NoteShare(shares, "a", ~0U, now) == Large);
   CHECK_FALSE(wg::HasUnsettled(shares));
-  // Another one takes effect once it has settled.
+  // A changed share takes effect after ShareSettleTime.
   CHECK(wg::NoteShare(shares, "a", Small, now) == Large);
   wg::SettleShares(shares, now + absl::Seconds(1));
   CHECK(wg::NoteShare(shares, "a", Small, now) == Large);
