--- a/Source/Decision/wgEndpointSpeed.cxx
+++ b/Source/Decision/wgEndpointSpeed.cxx
@@ -8,53 +8,52 @@
 namespace wg {
 namespace {
 
-/** Samples that are closer together than this share one cause: machines are
- * busy for some 600 ms at a time.
+/** Samples closer together than this are not independent: machines are busy
+ * for some 600 ms at a time.
  */
 constexpr double IndependentSeconds = 0.25;
-/** 480 independent samples are two minutes of work. */
-constexpr double LongestMean = 480.0;
-/** A sample beyond this (1.65 times) moves the lasting speed no further: a
- * machine that is busy for 15% of the time, 2.5 times slower then, would shift
- * a plain mean by 15%.
+/** The lasting mean covers 480 independent samples, two minutes of work. */
+constexpr double MaxMeanSamples = 480.0;
+/** Bounds the weight of outliers, as a logarithm (1.65 times): a machine that
+ * is busy for 15% of the time, and 2.5 times slower then, would shift a plain
+ * mean by 15%.
  */
-constexpr double MostError = 0.5;
-/** The samples after which an endpoint's own measurements weigh as much as its
- * peers' median.
+constexpr double MaxLogError = 0.5;
+/** After this many samples, an endpoint's own mean weighs as much as the
+ * median of its peers.
  */
 constexpr double PriorSamples = 4.0;
 constexpr double KnownConfidence = 0.5;
-/** A lasting speed within 22% of the peers' median is no evidence of a
- * difference: after four samples of which one fell into a busy moment, equal
- * endpoints differ by up to 15%.
+/** Logarithm of 22%: lasting slowdowns closer than this to the peers' median
+ * are within the measurement noise. After four samples of which one fell into
+ * a busy moment, equal endpoints differ by up to 15%.
  */
-constexpr double UnclearLog = 0.2;
+constexpr double NoiseLog = 0.2;
 constexpr double TransientMemorySeconds = 0.5;
-/** A sample beyond FaultFactor is more than a busy machine explains. Reads of
- * a faulty engine end 0.9 s apart: with the shorter memory it was given
- * prompts as before between the samples that show its fault.
+/** Applies after a sample beyond FaultFactor, which a busy machine does not
+ * explain. Prefills of a faulty engine end 0.9 s apart: with the shorter
+ * memory it got as many prompts as before until its fault was detected.
  */
 constexpr double SuspectMemorySeconds = 2.0;
-/** Between the spread of times at a sound endpoint and 2.5 times slower. */
-constexpr double ClearTransient = 1.5;
-constexpr double MostFactor = 20.0;
-constexpr double LeastFactor = 0.2;
-/** Between the 2.5 times of a busy machine and the 5 times of a fault. */
+/** Between the noise of a healthy endpoint and the 2.5 of a busy machine. */
+constexpr double SignificantTransient = 1.5;
+constexpr double MaxFactor = 20.0;
+constexpr double MinFactor = 0.2;
+/** Between the 2.5 of a busy machine and the 5 of a faulty endpoint. */
 constexpr double FaultFactor = 3.5;
 constexpr int FaultSamples = 3;
-/** A faulty endpoint that works at less than this is sound again. */
-constexpr double SoundFactor = 2.0;
-constexpr int SoundSamples = 2;
-/** Faults last for some 6 s, and each probe may delay a request by that. */
+/** A faulty endpoint is healthy again below this slowdown. */
+constexpr double RecoveryFactor = 2.0;
+constexpr int RecoverySamples = 2;
+/** Faults last for some 6 s, and each probe may delay a request as long. */
 constexpr absl::Duration ProbePeriod = absl::Seconds(1);
-/** Measured so recently that it describes this moment. */
 constexpr absl::Duration RecentTime = absl::Seconds(1);
 
 double Decay(const EndpointSpeed& speed, Elapsed now)
 {
   const double age = absl::ToDoubleSeconds(now - speed.noted);
   const double memory =
-    speed.slowInRow > 0 ? SuspectMemorySeconds : TransientMemorySeconds;
+    speed.consecutiveSlow > 0 ? SuspectMemorySeconds : TransientMemorySeconds;
   return std::exp(-std::max(age, 0.0) / memory);
 }
 
@@ -79,10 +78,10 @@
     weight = std::clamp(
       absl::ToDoubleSeconds(now - speed.noted) / IndependentSeconds, 0.0, 1.0);
   }
-  speed.samples = std::min(speed.samples + weight, LongestMean);
+  speed.samples = std::min(speed.samples + weight, MaxMeanSamples);
   if (speed.samples > 0.0) {
     const double error =
-      std::clamp(sampleLog - speed.lastingLog, -MostError, MostError);
+      std::clamp(sampleLog - speed.lastingLog, -MaxLogError, MaxLogError);
     speed.lastingLog += weight / speed.samples * error;
   }
 }
@@ -94,8 +93,8 @@
   speed.transientLog += (excessLog - speed.transientLog) / (before + 1.0);
 }
 
-/** That most of the peers are slow too is no fault of one of them: the service
- * has more work than it was taken to have.
+/** If most peers are slow too, the service has more work than estimated and no
+ * single endpoint is at fault.
  */
 bool MayBeJudged(const EndpointSpeed& speed, const PeerSpeeds& peers)
 {
@@ -108,28 +107,29 @@
 SpeedChange JudgeSound(EndpointSpeed& speed, double excess, Elapsed now)
 {
   speed.probed = now;
-  speed.soundInRow = excess < SoundFactor ? speed.soundInRow + 1 : 0;
-  if (speed.soundInRow < SoundSamples) {
+  speed.consecutiveHealthy =
+    excess < RecoveryFactor ? speed.consecutiveHealthy + 1 : 0;
+  if (speed.consecutiveHealthy < RecoverySamples) {
     return SpeedChange::None;
   }
   speed.isFaulty = false;
-  speed.slowInRow = 0;
-  return SpeedChange::Sound;
+  speed.consecutiveSlow = 0;
+  return SpeedChange::Healthy;
 }
 
 SpeedChange JudgeFaulty(EndpointSpeed& speed, const PeerSpeeds& peers,
-                        double excess, double leastExcess, Elapsed now)
+                        double excess, double minExcess, Elapsed now)
 {
-  if (leastExcess >= FaultFactor) {
-    ++speed.slowInRow;
+  if (minExcess >= FaultFactor) {
+    ++speed.consecutiveSlow;
   } else if (excess < FaultFactor) {
-    speed.slowInRow = 0;
+    speed.consecutiveSlow = 0;
   }
-  if (speed.slowInRow < FaultSamples || !MayBeJudged(speed, peers)) {
+  if (speed.consecutiveSlow < FaultSamples || !MayBeJudged(speed, peers)) {
     return SpeedChange::None;
   }
   speed.isFaulty = true;
-  speed.soundInRow = 0;
+  speed.consecutiveHealthy = 0;
   speed.probed = now;
   return SpeedChange::Faulty;
 }
@@ -148,7 +148,8 @@
     }
     if (peer->samples > 0.0 && now - peer->noted <= RecentTime) {
       ++summary.recent;
-      summary.slow += std::exp(peer->transientLog) >= ClearTransient ? 1 : 0;
+      summary.slow +=
+        std::exp(peer->transientLog) >= SignificantTransient ? 1 : 0;
     }
   }
   summary.known = static_cast<int>(logs.size());
@@ -167,8 +168,8 @@
   if (std::isnan(sample.factor) || std::isnan(sample.leastFactor)) {
     return SpeedChange::None;
   }
-  const double factor = std::clamp(sample.factor, LeastFactor, MostFactor);
-  const double least = std::clamp(sample.leastFactor, LeastFactor, factor);
+  const double factor = std::clamp(sample.factor, MinFactor, MaxFactor);
+  const double least = std::clamp(sample.leastFactor, MinFactor, factor);
   const double lasting = LastingLog(speed, peers);
   const double excessLog = std::log(factor) - lasting;
   const double excess = std::exp(excessLog);
@@ -176,7 +177,7 @@
     speed.isFaulty
       ? JudgeSound(speed, excess, now)
       : JudgeFaulty(speed, peers, excess, least / std::exp(lasting), now);
-  // A fault is measured against what the endpoint was before.
+  // Samples of a fault must not change the lasting mean, the reference for it.
   if (!speed.isFaulty && change == SpeedChange::None) {
     NoteLasting(speed, peers, std::log(factor), now);
   }
@@ -189,26 +190,27 @@
 {
   if (speed.isFaulty) {
     speed.probed = now;
-    speed.soundInRow = 0;
+    speed.consecutiveHealthy = 0;
   }
 }
 
-SpeedValue LastingSpeed(const EndpointSpeed& speed, const PeerSpeeds& peers)
+SlowdownEstimate LastingSpeed(const EndpointSpeed& speed,
+                              const PeerSpeeds& peers)
 {
   return { std::exp(LastingLog(speed, peers)), Confidence(speed) };
 }
 
-SpeedValue TransientSlowness(const EndpointSpeed& speed, Elapsed now)
+SlowdownEstimate TransientSlowdown(const EndpointSpeed& speed, Elapsed now)
 {
   const double samples = speed.transientSamples * Decay(speed, now);
   return { std::exp(std::max(speed.transientLog, 0.0)),
            samples / (samples + 1.0) };
 }
 
-SpeedValue FaultSlowness(const EndpointSpeed& speed)
+SlowdownEstimate FaultSlowdown(const EndpointSpeed& speed)
 {
   const double confidence =
-    std::min(1.0, static_cast<double>(speed.slowInRow) / FaultSamples);
+    std::min(1.0, static_cast<double>(speed.consecutiveSlow) / FaultSamples);
   return { speed.isFaulty ? FaultFactor : 1.0, confidence };
 }
 
@@ -217,18 +219,19 @@
 {
   const double common = std::log(peers.median);
   const double lasting = LastingLog(speed, peers);
-  const bool differs = std::abs(lasting - common) > UnclearLog;
-  const SpeedValue transient = TransientSlowness(speed, now);
-  const double slowness = transient.factor >= ClearTransient
-                            ? std::pow(transient.factor, transient.confidence)
-                            : 1.0;
-  return std::exp(differs ? lasting : common) * slowness;
+  const bool differs = std::abs(lasting - common) > NoiseLog;
+  const SlowdownEstimate transient = TransientSlowdown(speed, now);
+  const double transientFactor =
+    transient.factor >= SignificantTransient
+      ? std::pow(transient.factor, transient.confidence)
+      : 1.0;
+  return std::exp(differs ? lasting : common) * transientFactor;
 }
 
 bool IsEjected(const EndpointSpeed& speed, std::size_t open, Elapsed now)
 {
-  const bool isProbeDue =
-    open == 0 && (speed.soundInRow > 0 || now - speed.probed >= ProbePeriod);
+  const bool isProbeDue = open == 0 && (speed.consecutiveHealthy > 0 ||
+                                        now - speed.probed >= ProbePeriod);
   return speed.isFaulty && !isProbeDue;
 }
 
--- a/Source/Decision/wgEndpointSpeed.h
+++ b/Source/Decision/wgEndpointSpeed.h
@@ -10,97 +10,97 @@
 
 namespace wg {
 
-/** \brief A multiple of the usual time, and how far it is known: from 0,
- * nothing, to 1.
- */
-struct SpeedValue
+/** \brief An estimated slowdown and the confidence in it. */
+struct SlowdownEstimate
 {
-  double factor = 1.0;
-  double confidence = 0.0;
+  double factor = 1.0;     // time taken, as a multiple of the usual time
+  double confidence = 0.0; // from 0, nothing known, to 1
 };
 
-/** \brief What is known of how fast one start of an endpoint works. Times are
- * multiples of the usual one, kept as natural logarithms.
+/** \brief The measured speed of one start of an endpoint. Logs are natural
+ * logarithms of slowdowns.
  */
 struct EndpointSpeed
 {
   double lastingLog = 0.0;
-  double samples = 0.0; // independent ones, of the lasting speed
+  double samples = 0.0; // independent ones, in lastingLog
   double transientLog = 0.0;
-  double transientSamples = 0.0; // those of the last moments
-  Elapsed noted;                 // the last sample
-  int slowInRow = 0;
-  int soundInRow = 0;
+  double transientSamples = 0.0; // decayed by age
+  Elapsed noted;                 // time of the last sample
+  int consecutiveSlow = 0;
+  int consecutiveHealthy = 0;
   bool isFaulty = false;
-  Elapsed probed; // while faulty: the last evidence
+  Elapsed probed; // while faulty: end of the last work
 };
 
-/** \brief What the endpoints of a service have in common. */
+/** \brief A summary of the speeds of a service's endpoints. */
 struct PeerSpeeds
 {
-  double median = 1.0; // of the lasting speeds that are known; 1: none is
-  int known = 0;       // endpoints with a known lasting speed
-  int recent = 0;      // endpoints that were measured in the last moments
-  int slow = 0;        // of these, clearly slower than they last
+  double median = 1.0; // of the known lasting slowdowns; 1: none is known
+  int known = 0;       // endpoints with a known lasting slowdown
+  int recent = 0;      // endpoints with a sample in the last second
+  int slow = 0;        // of these, significantly slower than usual for them
 };
 
 PeerSpeeds SummarizeSpeeds(absl::Span<const EndpointSpeed* const> peers,
                            Elapsed now);
 
 /** \brief One piece of work that an endpoint has done. Values out of range
- * count as the nearest one within, and NaN is no sample.
+ * are clamped; NaN is ignored.
  */
 struct SpeedSample
 {
   double factor = 1.0; // time taken, as a multiple of the usual time
-  /** The same if the endpoint had to do all that it was taken to have done
-   * before. No more than this is evidence of a fault.
+  /** The slowdown if the endpoint had nothing cached. A prompt prefix that was
+   * wrongly assumed to be cached must not look like a fault.
    */
   double leastFactor = 1.0;
 };
 
-/** \brief What a sample has changed. */
 enum class SpeedChange
 {
   None,
-  Faulty, // judged faulty from now on
-  Sound   // no longer
+  Faulty,
+  Healthy
 };
 
 SpeedChange NoteSpeed(EndpointSpeed& speed, const PeerSpeeds& peers,
                       const SpeedSample& sample, Elapsed now);
 
-/** \brief Work at a faulty endpoint has ended without a sample. */
+/** \brief Notes that work ended without a sample, which at a faulty endpoint
+ * postpones the next probe.
+ */
 void NoteNoSample(EndpointSpeed& speed, Elapsed now);
 
-/** \brief The lasting speed, remembered for minutes. With few samples it is
- * near the median of the peers.
+/** \brief Returns the mean slowdown over minutes. With few samples it is near
+ * the median of the peers.
  */
-SpeedValue LastingSpeed(const EndpointSpeed& speed, const PeerSpeeds& peers);
+SlowdownEstimate LastingSpeed(const EndpointSpeed& speed,
+                              const PeerSpeeds& peers);
 
-/** \brief How much slower than it lasts the endpoint is at this moment,
- * remembered for half a second.
+/** \brief Returns the slowdown over about half a second, relative to the
+ * lasting one.
  */
-SpeedValue TransientSlowness(const EndpointSpeed& speed, Elapsed now);
+SlowdownEstimate TransientSlowdown(const EndpointSpeed& speed, Elapsed now);
 
-/** \brief Whether it is at fault: the factor is how much slower it is than it
- * was at least, 1 for a sound one.
+/** \brief Returns the least slowdown, relative to the lasting one, that the
+ * fault of an endpoint proves; 1 if it is healthy.
  */
-SpeedValue FaultSlowness(const EndpointSpeed& speed);
+SlowdownEstimate FaultSlowdown(const EndpointSpeed& speed);
 
-/** \brief The multiple of the usual time that work is expected to take there.
- * Endpoints that do not clearly differ from their peers all get the same.
+/** \brief Returns the slowdown expected of new work. Endpoints that do not
+ * differ significantly from their peers all get the same value.
  */
 double ExpectedFactor(const EndpointSpeed& speed, const PeerSpeeds& peers,
                       Elapsed now);
 
-/** \brief Whether a faulty endpoint gets no work now: single requests probe
- * it.
- * \param open requests that it has
+/** \brief Returns whether the endpoint is faulty and no probe is due. Probes
+ * are single requests.
+ * \param open requests in flight there
  */
 bool IsEjected(const EndpointSpeed& speed, std::size_t open, Elapsed now);
 
-/** \brief What was measured is forgotten after so long without samples. */
+/** \brief Measurements expire after this time without a sample. */
 constexpr absl::Duration SpeedMemory = absl::Minutes(10);
 
 } // namespace wg
--- a/Tests/Decision/wgEndpointSpeedTest.cxx
+++ b/Tests/Decision/wgEndpointSpeedTest.cxx
@@ -40,17 +40,18 @@
     return wg::SummarizeSpeeds(all, At(at));
   }
 
-  /** \param busyShare of the time in which each is 2.5 times slower, 600 ms at
-   * a time
+  /** \param busyFraction fraction of the time in which an endpoint is 2.5
+   * times slower, 600 ms at a time
    */
-  void Work(double from, double until, double busyShare, std::uint64_t seed)
+  void Work(double from, double until, double busyFraction, std::uint64_t seed)
   {
     constexpr double step = 0.1;
     constexpr double busySeconds = 0.6;
     std::mt19937_64 random(seed);
     std::vector<double> busyUntil(speeds_.size(), 0.0);
-    const double pause =
-      busyShare > 0.0 ? busySeconds * (1.0 - busyShare) / busyShare : 1e9;
+    const double pause = busyFraction > 0.0
+                           ? busySeconds * (1.0 - busyFraction) / busyFraction
+                           : 1e9;
     for (double at = from; at < until; at += step) {
       for (std::size_t i = 0; i < speeds_.size(); ++i) {
         const double chance = std::uniform_real_distribution<double>()(random);
@@ -84,8 +85,8 @@
 
 } // namespace
 
-// Guards against a lasting difference that is forgotten within 10 s, or hidden
-// by machines that are busy at times.
+// Guards against losing a lasting difference within 10 s, or hiding it in the
+// noise of machines that are busy at times.
 TEST_CASE("Unequal speeds are learned under noise and remembered")
 {
   for (const std::uint64_t seed : { 1, 2, 3, 4, 5 }) {
@@ -100,12 +101,12 @@
       CHECK(ratio > 0.8 * 1.7 / 0.7);
       CHECK(ratio < 1.2 * 1.7 / 0.7);
     }
-    CHECK(fleet.Changes() == 0); // noise is no fault
+    CHECK(fleet.Changes() == 0); // noise is not classified as a fault
   }
 }
 
-// Guards against choices among equal endpoints that follow from chance.
-TEST_CASE("Endpoints that are alike are expected to take the same time")
+// Guards against preferring one of several equal endpoints because of noise.
+TEST_CASE("Equal endpoints have the same expected slowdown")
 {
   for (const std::uint64_t seed : { 1, 2, 3, 4, 5 }) {
     CAPTURE(seed);
@@ -124,9 +125,9 @@
   }
 }
 
-// Guards against an endpoint that is avoided long after its machine was busy,
-// and against one that is not avoided while it is.
-TEST_CASE("A machine that is busy for 600 ms counts for about that long")
+// Guards against avoiding an endpoint long after its machine was busy, and
+// against not avoiding it meanwhile.
+TEST_CASE("A machine that is busy for 600 ms counts as slow for about as long")
 {
   Fleet fleet({ 1.0, 1.0, 1.0 });
   fleet.Work(0.0, 20.0, 0.0, 7);
@@ -136,14 +137,15 @@
   CHECK(fleet.Expected(0, 20.5) > 1.5 * fleet.Expected(1, 20.5));
   CHECK(fleet.Expected(0, 22.0) < 1.35 * fleet.Expected(1, 22.0));
   CHECK_FALSE(fleet.Of(0).isFaulty);
-  const wg::SpeedValue now = wg::TransientSlowness(fleet.Of(0), At(20.5));
+  const wg::SlowdownEstimate now =
+    wg::TransientSlowdown(fleet.Of(0), At(20.5));
   CHECK(now.confidence > 0.6);
-  CHECK(wg::TransientSlowness(fleet.Of(0), At(22.0)).confidence < 0.3);
+  CHECK(wg::TransientSlowdown(fleet.Of(0), At(22.0)).confidence < 0.3);
 }
 
-// Guards against an engine at fault that goes on to get every request that
-// seems to fit, and against one that is never tried again.
-TEST_CASE("A fault is judged by three samples and ended by two probes")
+// Guards against a faulty engine that still gets every request that seems to
+// fit, and against one that is never probed again.
+TEST_CASE("Three slow samples show a fault and two good probes end it")
 {
   Fleet fleet({ 0.7, 0.7, 0.7 });
   fleet.Work(0.0, 20.0, 0.15, 3);
@@ -154,7 +156,7 @@
   };
   CHECK(note(3.5, 20.1) == SpeedChange::None);
   CHECK(note(3.5, 20.2) == SpeedChange::None);
-  CHECK(wg::FaultSlowness(speed).factor == 1.0);
+  CHECK(wg::FaultSlowdown(speed).factor == 1.0);
   SECTION("not in a row")
   {
     CHECK(note(0.8, 20.25) == SpeedChange::None);
@@ -163,26 +165,26 @@
   SECTION("three")
   {
     CHECK(note(3.5, 20.3) == SpeedChange::Faulty);
-    CHECK(wg::FaultSlowness(speed).confidence == 1.0);
-    // It is probed after a second, with one request at a time.
+    CHECK(wg::FaultSlowdown(speed).confidence == 1.0);
+    // It is probed once a second, by one request at a time.
     CHECK(wg::IsEjected(speed, 0, At(20.4)));
     CHECK_FALSE(wg::IsEjected(speed, 0, At(21.3)));
     CHECK(wg::IsEjected(speed, 1, At(21.3)));
     CHECK(note(3.5, 22.0) == SpeedChange::None);
     CHECK(wg::IsEjected(speed, 0, At(22.9)));
-    wg::NoteNoSample(speed, At(23.0)); // the probe's caller has left
+    wg::NoteNoSample(speed, At(23.0)); // the probe's caller disconnected
     CHECK(wg::IsEjected(speed, 0, At(23.9)));
     CHECK(note(0.7, 24.2) == SpeedChange::None);
     CHECK_FALSE(wg::IsEjected(speed, 0, At(24.2)));
-    CHECK(note(0.7, 24.5) == SpeedChange::Sound);
-    // The fault has not become its lasting speed.
+    CHECK(note(0.7, 24.5) == SpeedChange::Healthy);
+    // The fault has not changed the lasting slowdown.
     CHECK(wg::LastingSpeed(speed, fleet.Peers(25.0)).factor ==
           Approx(lasting).epsilon(0.1));
   }
 }
 
-// Guards against a long fault becoming the speed that soundness is judged by.
-TEST_CASE("A fault does not become the lasting speed")
+// Guards against a long fault becoming the reference that ends the fault.
+TEST_CASE("A fault does not change the lasting slowdown")
 {
   Fleet fleet({ 1.0, 1.0, 1.0 });
   fleet.Work(0.0, 20.0, 0.0, 3);
@@ -196,13 +198,13 @@
   CHECK(wg::LastingSpeed(fleet.Of(0), fleet.Peers(143.0)).factor < 1.1);
 }
 
-// Guards against the ejection of engines because all have too much to do, or
-// because prompts took longer than reckoned.
-TEST_CASE("What is explained otherwise is no fault")
+// Guards against ejecting engines because all are overloaded, or because
+// prompts took longer than estimated.
+TEST_CASE("Slow samples with another explanation show no fault")
 {
   Fleet fleet({ 1.0, 1.0, 1.0, 1.0 });
   fleet.Work(0.0, 20.0, 0.0, 5);
-  SECTION("most of the peers are as slow")
+  SECTION("most peers are as slow")
   {
     int faulty = 0;
     for (int i = 0; i < 10; ++i) {
@@ -213,14 +215,14 @@
     }
     CHECK(faulty == 0);
   }
-  SECTION("it may not hold what it was taken to hold")
+  SECTION("the prompt prefix may not have been cached")
   {
     for (int i = 0; i < 10; ++i) {
       CHECK(wg::NoteSpeed(fleet.Of(0), fleet.Peers(20.0), { 5.0, 1.0 },
                           At(20.0 + 0.2 * i)) == SpeedChange::None);
     }
   }
-  SECTION("nothing is known to compare it with")
+  SECTION("there is no known slowdown to compare with")
   {
     EndpointSpeed alone;
     for (int i = 0; i < 3; ++i) {
@@ -230,9 +232,8 @@
   }
 }
 
-// Guards against a new endpoint being preferred or avoided before it was
-// measured.
-TEST_CASE("An endpoint begins at the median of its peers")
+// Guards against preferring or avoiding a new endpoint without a measurement.
+TEST_CASE("An endpoint starts at the median of its peers")
 {
   CHECK(wg::ExpectedFactor({}, {}, Start) == 1.0);
   Fleet fleet({ 0.7, 0.7, 1.7 });
@@ -244,7 +245,7 @@
 }
 
 // Guards against one absurd measurement that outweighs all others.
-TEST_CASE("A sample counts for no more than it can show")
+TEST_CASE("Samples out of range are clamped or ignored")
 {
   EndpointSpeed speed;
   const PeerSpeeds none;
