--- a/Source/Decision/wgEndpointLoad.cxx
+++ b/Source/Decision/wgEndpointLoad.cxx
@@ -4,13 +4,11 @@
 namespace wg {
 namespace {
 
-/** A call may take twice as long as reported before this is evidence: a pace
- * that changes during the call explains less than that.
- */
+/** A slowdown that changes during the call explains a smaller factor only. */
 constexpr double ContradictingFactor = 2.0;
 /** One or two calls may be slow by chance. */
 constexpr int ContradictingCalls = 3;
-constexpr absl::Duration DistrustTime = absl::Seconds(5);
+constexpr absl::Duration IgnoreTime = absl::Seconds(5);
 
 } // namespace
 
@@ -45,7 +43,7 @@
     return false;
   }
   trust.contradicted = 0;
-  trust.ignoredUntil = now + DistrustTime;
+  trust.ignoredUntil = now + IgnoreTime;
   return true;
 }
 
--- a/Source/Decision/wgEndpointLoad.h
+++ b/Source/Decision/wgEndpointLoad.h
@@ -17,55 +17,55 @@
   double running = 0.0; // requests
   double waiting = 0.0; // requests
   double slots = 0.0;
-  /** How long work takes there, as a multiple of the usual time; none: the
-   * service does not report it.
+  /** The slowdown: time that work takes there, as a multiple of the usual
+   * time; none: the service does not report it.
    */
   std::optional<double> pace;
-  Elapsed reported;  // when the answer arrived
-  std::string start; // identity of the start that reported it
+  Elapsed reported;  // arrival of the answer
+  std::string start; // identity of the reporting start
 };
 
-/** \brief What the head of one answer reports of its endpoint's load. */
+/** \brief The load report in the header fields of one answer. */
 struct EndpointLoadReport
 {
   std::optional<EndpointLoad> load; // without time and start
   bool isUnreadable = false;
 };
 
-/** \brief What the answers of a start of an endpoint have reported. */
+/** \brief The load that answers of an endpoint have reported. */
 struct KnownLoad
 {
-  std::optional<EndpointLoad> load; // the last one that could be read
-  int unreadable = 0;               // reports
+  std::optional<EndpointLoad> load; // the last readable one
+  int unreadable = 0;               // number of reports
 };
 
-/** \brief The pace changes several times a second, so that an older report
- * does not describe the next call.
+/** \brief Older reports are not used, as the slowdown changes several times a
+ * second.
  */
 constexpr absl::Duration ReportMemory = absl::Milliseconds(200);
 
-/** \brief Takes in the report of an answer that arrived now. A missing or
- * unreadable report leaves the previous one, which continues to age.
+/** \brief Applies the report of an answer that arrived now. If it is missing
+ * or unreadable, the previous one stays and continues to age.
  */
 void TakeLoad(KnownLoad& known, const EndpointLoadReport& report,
               absl::string_view start, Elapsed now);
 
-/** \brief The load that this start has reported within ReportMemory; null:
- * none.
+/** \brief Returns the load that this start reported within ReportMemory, or
+ * null.
  */
 const EndpointLoad* LoadNow(const KnownLoad& known, absl::string_view start,
                             Elapsed now);
 
-/** \brief How far an endpoint's reports are believed. */
+/** \brief Whether an endpoint's load reports are trusted. */
 struct ReportTrust
 {
   int contradicted = 0; // calls in a row
   Elapsed ignoredUntil;
 };
 
-/** \brief Compares a call's time with the one that follows from the report it
- * was made under. A report is contradicted by calls that take twice or half
- * that time, three in a row; it is then ignored for 5 s.
+/** \brief Compares the time of a call with the one expected from the load
+ * report. Reports are ignored for 5 s after three calls in a row that took at
+ * least twice or at most half of the expected time.
  * \return whether the reports are ignored from now on
  */
 bool NoteReportedCall(ReportTrust& trust, double reportedSeconds,
--- a/Source/Decision/wgEndpointState.cxx
+++ b/Source/Decision/wgEndpointState.cxx
@@ -7,20 +7,22 @@
 namespace {
 
 constexpr double FailureGain = 0.15;
-constexpr double EjectFailureShare = 0.5;
+constexpr double EjectFailureRate = 0.5;
 constexpr int EjectFailuresInRow = 3;
 constexpr int EjectUnreachedInRow = 2;
 constexpr int SilentWatchesToStop = 2;
 constexpr int MinSamples = 6;
-constexpr double EjectSlowness = 4.0; // times the median of its peers
-constexpr double MaxEjectedShare = 0.5;
+constexpr double EjectSlowdown = 4.0; // times the median of its peers
+constexpr double MaxEjectedFraction = 0.5;
 constexpr int ProbesToPass = 3;
 constexpr int MaxBackoffDoublings = 5;
 constexpr absl::Duration FirstEjection = absl::Seconds(1);
 constexpr double LimitDecrease = 0.7;
-constexpr double LimitSlowness = 3.0; // times the best mean
+constexpr double CongestedSlowdown = 3.0; // times the best mean
 
-/** The median of the peers' mean service times; 0 with too few of them. */
+/** Returns the median of the peers' mean service times in seconds, or 0 if no
+ * peer has enough samples.
+ */
 double MedianOfPeers(absl::Span<const EndpointState> group, std::size_t self)
 {
   std::vector<double> means;
@@ -38,12 +40,13 @@
   return *middle;
 }
 
-/** Whether it has taken so long that the endpoint must be at fault. */
+/** Returns whether an attempt took so long that the endpoint must be at fault.
+ */
 bool IsOverdue(absl::Span<const EndpointState> group, std::size_t index,
                double seconds)
 {
   const double median = MedianOfPeers(group, index);
-  return median > 0.0 && seconds > EjectSlowness * median;
+  return median > 0.0 && seconds > EjectSlowdown * median;
 }
 
 bool MayEjectOneMore(absl::Span<const EndpointState> group)
@@ -53,7 +56,7 @@
       return endpoint.health.state != HealthState::Healthy;
     });
   return static_cast<double>(ejected + 1) <=
-         MaxEjectedShare * static_cast<double>(group.size());
+         MaxEjectedFraction * static_cast<double>(group.size());
 }
 
 void Eject(EndpointState& endpoint, Elapsed now)
@@ -66,7 +69,7 @@
   health.probesPassed = 0;
 }
 
-bool IsBad(absl::Span<const EndpointState> group, std::size_t index)
+bool IsUnhealthy(absl::Span<const EndpointState> group, std::size_t index)
 {
   const EndpointState& endpoint = group[index];
   if (endpoint.health.failuresInRow >= EjectFailuresInRow) {
@@ -77,19 +80,20 @@
   }
   const double median = MedianOfPeers(group, index);
   const bool slow =
-    median > 0.0 && endpoint.service.mean > EjectSlowness * median;
-  return slow || endpoint.health.failureShare > EjectFailureShare;
+    median > 0.0 && endpoint.service.mean > EjectSlowdown * median;
+  return slow || endpoint.health.failureRate > EjectFailureRate;
 }
 
-void NoteLimit(EndpointState& endpoint, bool good)
+void UpdateLimit(EndpointState& endpoint, bool succeeded)
 {
   AdaptiveLimit& limit = endpoint.limit;
   const double mean = endpoint.service.mean;
   if (endpoint.service.samples >= MinSamples) {
     limit.best = limit.best == 0.0 ? mean : std::min(limit.best, mean);
   }
-  const bool congested = limit.best > 0.0 && mean > LimitSlowness * limit.best;
-  if (!good) {
+  const bool congested =
+    limit.best > 0.0 && mean > CongestedSlowdown * limit.best;
+  if (!succeeded) {
     limit.value *= LimitDecrease;
   } else if (!congested) {
     limit.value += 1.0;
@@ -98,9 +102,9 @@
     std::clamp(limit.value, 1.0, static_cast<double>(endpoint.slots));
 }
 
-bool NoteProbe(EndpointState& endpoint, bool good, Elapsed now)
+bool NoteProbe(EndpointState& endpoint, bool succeeded, Elapsed now)
 {
-  if (!good) {
+  if (!succeeded) {
     Eject(endpoint, now);
     return true;
   }
@@ -149,31 +153,31 @@
   if (end == AttemptEnd::Cancelled) {
     return false;
   }
-  const bool good =
+  const bool succeeded =
     end == AttemptEnd::Answered ||
     (end == AttemptEnd::OutOfTime && !IsOverdue(group, index, seconds));
   EndpointHealth& health = endpoint.health;
   ++health.samples;
-  health.failureShare +=
-    FailureGain * ((good ? 0.0 : 1.0) - health.failureShare);
-  health.failuresInRow = good ? 0 : health.failuresInRow + 1;
+  health.failureRate +=
+    FailureGain * ((succeeded ? 0.0 : 1.0) - health.failureRate);
+  health.failuresInRow = succeeded ? 0 : health.failuresInRow + 1;
   const bool unreached = end == AttemptEnd::Unreached;
   health.unreachedInRow = unreached ? health.unreachedInRow + 1 : 0;
-  const bool tellsTime =
+  const bool isTimeSample =
     end == AttemptEnd::Answered ||
     (end == AttemptEnd::OutOfTime && seconds > endpoint.service.mean);
-  if (tellsTime) {
+  if (isTimeSample) {
     Observe(endpoint.service, seconds);
   }
-  NoteLimit(endpoint, good);
+  UpdateLimit(endpoint, succeeded);
   if (health.state == HealthState::Probing) {
-    return NoteProbe(endpoint, good, now);
+    return NoteProbe(endpoint, succeeded, now);
   }
-  // A connection that does not come to be is proof; a judgement by
-  // comparison is not, and so bounded.
+  // Failed connections are proof of a fault. A comparison with peers is not,
+  // so the number of ejections by it is bounded.
   const bool eject = health.state == HealthState::Healthy &&
                      (health.unreachedInRow >= EjectUnreachedInRow ||
-                      (IsBad(group, index) && MayEjectOneMore(group)));
+                      (IsUnhealthy(group, index) && MayEjectOneMore(group)));
   if (eject) {
     Eject(endpoint, now);
   }
@@ -182,13 +186,13 @@
 
 void NoteWatch(EndpointState& endpoint, bool answered)
 {
-  const bool unreachedBefore = endpoint.health.state == HealthState::Ejected &&
-                               endpoint.health.unreachedInRow > 0;
-  const bool silentBefore = endpoint.silentWatches >= SilentWatchesToStop &&
-                            endpoint.health.state == HealthState::Healthy;
-  const bool returns = answered && (silentBefore || unreachedBefore);
-  if (returns) {
-    // That it was gone is known, and that it is back: one probe will do.
+  const bool wasUnreached = endpoint.health.state == HealthState::Ejected &&
+                            endpoint.health.unreachedInRow > 0;
+  const bool wasUnresponsive = endpoint.silentWatches >= SilentWatchesToStop &&
+                               endpoint.health.state == HealthState::Healthy;
+  const bool isBack = answered && (wasUnresponsive || wasUnreached);
+  if (isBack) {
+    // The endpoint was certainly gone and is back, so one probe is enough.
     endpoint.health.state = HealthState::Probing;
     endpoint.health.probesPassed = ProbesToPass - 1;
   }
@@ -203,7 +207,7 @@
     if (due) {
       endpoint.health.state = HealthState::Probing;
       endpoint.health.failuresInRow = 0;
-      endpoint.service = {}; // what it was like before is no guide
+      endpoint.service = {}; // earlier times do not apply any more
     }
   }
 }
--- a/Source/Decision/wgEndpointState.h
+++ b/Source/Decision/wgEndpointState.h
@@ -12,12 +12,12 @@
 
 namespace wg {
 
-/** \brief What an endpoint says of itself, as late as it says it. */
+/** \brief The load that an endpoint last reported in answer to a poll. */
 struct LoadReport
 {
   int running = 0;
   int waiting = 0;
-  int ownRunning = 0; // ours at the moment of the report
+  int ownRunning = 0; // stages of this entry there when the report arrived
   Elapsed at = -absl::InfiniteDuration();
 };
 
@@ -25,14 +25,14 @@
 {
   Healthy,
   Ejected,
-  Probing // one stage at a time, until enough of them end well
+  Probing // one stage at a time, until enough of them succeed
 };
 
-/** \brief Failures and slowness, as seen by this entry. */
+/** \brief The health of an endpoint, as measured by this entry. */
 struct EndpointHealth
 {
   HealthState state = HealthState::Healthy;
-  double failureShare = 0.0;
+  double failureRate = 0.0; // moving average
   int samples = 0;
   int failuresInRow = 0;
   int unreachedInRow = 0;
@@ -41,33 +41,34 @@
   Elapsed ejectedUntil;
 };
 
-/** \brief How many stages this entry lets run at an endpoint. */
+/** \brief The limit on the stages that this entry runs at an endpoint at once.
+ */
 struct AdaptiveLimit
 {
   double value = 1.0;
-  double best = 0.0; // shortest mean service time seen, seconds
+  double best = 0.0; // shortest mean service time so far, seconds
 };
 
-/** \brief What an entry knows of one endpoint. */
+/** \brief The state of one endpoint, as known to an entry. */
 struct EndpointState
 {
   std::string name;
   std::string hall;
-  double distanceSeconds = 0.0; // there and back from this entry's hall
-  std::string address;          // IP number
+  double distanceSeconds = 0.0; // round trip from this entry's hall
+  std::string address;          // IP address
   int port = 0;
   int slots = 1;
   bool drained = false;       // by an operator
   bool evacuated = false;     // its hall, by an operator
   bool listedLeaving = false; // by the platform's list
-  bool saysLeaving = false;   // by its own word
-  bool saysReady = true;      // false while it loads what it was ordered to
+  bool saysLeaving = false;   // by its own report
+  bool saysReady = true;      // by its own report; false while it loads
   bool removed = false;       // no longer configured
-  int running = 0;            // ours
-  int silentWatches = 0;      // in a row: it did not say its load when asked
-  std::uint64_t compared = 0; // when a choice last came by it
-  int share = 0;   // of its slots, this box's while the group is contended
-  int skipped = 0; // choices in a row that took another
+  int running = 0;            // stages of this entry
+  int silentWatches = 0;      // load polls in a row without an answer
+  std::uint64_t compared = 0; // number of the choice that last compared it
+  int share = 0;   // this box's slots there while the group is contended
+  int skipped = 0; // comparisons in a row that chose another endpoint
   LoadReport report;
   TimeEstimate service;
   EndpointHealth health;
@@ -78,38 +79,38 @@
 enum class AttemptEnd
 {
   Answered,
-  Failed,    // answered with an error, or broke off
-  Unreached, // no connection came to be
-  OutOfTime, // broken off at the deadline
-  Cancelled  // by us: says nothing of the endpoint
+  Failed,    // an error as answer, or a broken connection
+  Unreached, // no connection
+  OutOfTime, // cancelled at the deadline
+  Cancelled  // by this entry: no evidence about the endpoint
 };
 
-/** \brief Whether any source says that it is leaving. */
+/** \brief Returns whether the endpoint is leaving according to any source. */
 bool IsLeaving(const EndpointState& endpoint);
 
-/** \brief Whether new work may be sent there at all. */
+/** \brief Returns whether new work may be sent there, limits aside. */
 bool TakesNewWork(const EndpointState& endpoint);
 
 /** \brief Which of an endpoint's slots may be used. */
 enum class PlaceRule
 {
-  Any,   // all that its limit allows
-  Shared // those that are this box's
+  Any,   // all within its adaptive limit
+  Shared // of these, only the share of this box
 };
 
-/** \brief Whether one more stage may be sent there now. */
+/** \brief Returns whether one more stage may be sent there now. */
 bool HasPlace(const EndpointState& endpoint, PlaceRule rule);
 
-/** \brief Takes the end of an attempt into limit, estimate and health.
- * \return true when the endpoint's health state changed
+/** \brief Updates limit, estimate and health at the end of an attempt.
+ * \return whether the endpoint's health state changed
  */
 bool NoteAttemptEnd(absl::Span<EndpointState> group, std::size_t index,
                     AttemptEnd end, double seconds, Elapsed now);
 
-/** \brief Takes in whether it said its load when asked. */
+/** \brief Notes whether the endpoint answered a load poll. */
 void NoteWatch(EndpointState& endpoint, bool answered);
 
-/** \brief Lets ejected endpoints whose time is over be probed. */
+/** \brief Starts probing endpoints whose ejection has expired. */
 void StartProbes(absl::Span<EndpointState> group, Elapsed now);
 
 } // namespace wg
--- a/Source/Decision/wgEndpointTerms.cxx
+++ b/Source/Decision/wgEndpointTerms.cxx
@@ -6,32 +6,32 @@
 namespace wg {
 
 bool TakeLimit(EndpointTerms& known, std::optional<double> perSecond,
-               Elapsed told)
+               Elapsed reported)
 {
-  if (told < known.limitTold) {
+  if (reported < known.limitTold) {
     return false;
   }
   const bool isChanged = known.perSecond != perSecond;
   known.perSecond = perSecond;
-  known.limitTold = told;
+  known.limitTold = reported;
   return isChanged;
 }
 
-TermsChange TakeTerms(EndpointTerms& known, const SenderTerms& told,
+TermsChange TakeTerms(EndpointTerms& known, const SenderTerms& reported,
                       Elapsed sent, Elapsed now)
 {
   TermsChange change;
-  if (told.perSecond || (told.endsLimit && sent >= known.limitTold)) {
-    change.limit = TakeLimit(known, told.perSecond, now);
+  if (reported.perSecond || (reported.endsLimit && sent >= known.limitTold)) {
+    change.limit = TakeLimit(known, reported.perSecond, now);
   }
-  if (told.isLeaving) {
+  if (reported.isLeaving) {
     change.leaving = !known.isLeaving;
     known.isLeaving = true;
-    known.leavingTold = now;
+    known.leavingReported = now;
   }
-  if (now + told.rest > std::max(known.restUntil, now)) {
+  if (now + reported.rest > std::max(known.restUntil, now)) {
     change.rest = true;
-    known.restUntil = now + told.rest;
+    known.restUntil = now + reported.rest;
   }
   return change;
 }
@@ -43,7 +43,8 @@
 
 void ForgetLeaving(EndpointTerms& terms, Elapsed now)
 {
-  terms.isLeaving = terms.isLeaving && now < terms.leavingTold + LeavingMemory;
+  terms.isLeaving =
+    terms.isLeaving && now < terms.leavingReported + LeavingMemory;
 }
 
 } // namespace wg
--- a/Source/Decision/wgEndpointTerms.h
+++ b/Source/Decision/wgEndpointTerms.h
@@ -9,35 +9,34 @@
 
 namespace wg {
 
-/** \brief What the head of one answer asks of those that send to its endpoint.
+/** \brief What the header fields of one answer request of its endpoint's
+ * senders.
  */
 struct SenderTerms
 {
-  /** Requests a second that it takes from all boxes together; none: it names
-   * no limit.
-   */
+  /** Limit on requests per second from all boxes together; none: not given. */
   std::optional<double> perSecond;
   bool isLeaving = false;
-  /** How long it wants nothing from the box that it has just refused. */
+  /** Backoff requested of the box whose request was just refused. */
   absl::Duration rest;
-  int unreadable = 0; // fields with such a word that could not be read
-  /** Whether a limit that it does not name has ended: a refusal or failure may
-   * leave it out.
+  int unreadable = 0; // such fields that could not be parsed
+  /** Whether the absence of a limit ends an earlier one. It does not in a
+   * refusal or failure, which may leave the limit out.
    */
   bool endsLimit = false;
 };
 
-/** \brief What a box knows of the terms of one start of an endpoint. */
+/** \brief The terms of one start of an endpoint, as known to a box. */
 struct EndpointTerms
 {
-  std::optional<double> perSecond; // from all boxes together
-  Elapsed limitTold;               // when that, or its end, was last told
-  Elapsed restUntil;               // for this box
+  std::optional<double> perSecond; // limit for all boxes together
+  Elapsed limitTold; // when the limit or its end was last reported
+  Elapsed restUntil; // of this box
   bool isLeaving = false;
-  Elapsed leavingTold;
+  Elapsed leavingReported;
 };
 
-/** \brief What of the known terms an answer has changed. */
+/** \brief The terms that an answer has changed. */
 struct TermsChange
 {
   bool limit = false;
@@ -50,28 +49,29 @@
   return change.limit || change.rest || change.leaving;
 }
 
-/** \brief A release that was called off leaves an endpoint in service that
- * said it leaves. It stays out for longer than any drain takes.
+/** \brief How long an announced leave holds, longer than any drain takes. An
+ * endpoint whose release is called off then returns to service.
  */
 constexpr absl::Duration LeavingMemory = absl::Minutes(5);
 
-/** \brief Takes in what an answer says. One to a request that was sent before
- * a limit was last told says nothing of its end: answers may overtake each
- * other. That it leaves is not taken back by answers.
- * \param sent when the request was
+/** \brief Applies the terms of an answer. As answers may overtake each other,
+ * a limit is ended only by an answer to a request that was sent after the
+ * limit was last reported. Answers do not withdraw an announced leave.
+ *
+ * \param sent when the request was sent
  */
-TermsChange TakeTerms(EndpointTerms& known, const SenderTerms& told,
+TermsChange TakeTerms(EndpointTerms& known, const SenderTerms& reported,
                       Elapsed sent, Elapsed now);
 
-/** \brief Takes in a limit, or its end, that another box was told then.
- * \return whether it changed what is known
+/** \brief Applies a limit, or its end, unless a newer one is known.
+ * \param reported when it was reported, to this or another box
+ * \return whether the known limit changed
  */
 bool TakeLimit(EndpointTerms& known, std::optional<double> perSecond,
-               Elapsed told);
+               Elapsed reported);
 
 bool IsResting(const EndpointTerms& terms, Elapsed now);
-/** \brief Takes back what was told of leaving longer than LeavingMemory ago.
- */
+/** \brief Clears a leave that was announced LeavingMemory ago or earlier. */
 void ForgetLeaving(EndpointTerms& terms, Elapsed now);
 
 } // namespace wg
--- a/Tests/Decision/wgEndpointLoadTest.cxx
+++ b/Tests/Decision/wgEndpointLoadTest.cxx
@@ -28,8 +28,8 @@
 
 } // namespace
 
-// Guards against a report that froze long ago being used for new calls.
-TEST_CASE("A reported load is used while it is fresh")
+// Guards against using a stale report for new calls.
+TEST_CASE("A reported load is used for 200 ms")
 {
   KnownLoad known;
   CHECK(LoadNow(known, "e", Now) == nullptr);
@@ -37,12 +37,12 @@
   REQUIRE(LoadNow(known, "e", After(200)) != nullptr);
   CHECK(LoadNow(known, "e", After(200))->pace == 2.5);
   CHECK(LoadNow(known, "e", After(201)) == nullptr);
-  // From the future: the clock of a box never goes back by itself.
+  // A report from the future is not used: clocks are monotonic.
   CHECK(LoadNow(known, "e", Now - absl::Milliseconds(1)) == nullptr);
 }
 
-// Guards against what an earlier start reported being held against the next.
-TEST_CASE("A reported load holds for the start that reported it")
+// Guards against applying the report of an earlier start to the next one.
+TEST_CASE("A reported load applies only to the start that reported it")
 {
   KnownLoad known;
   TakeLoad(known, Report(1.0, 2.5), "e@1", Now);
@@ -50,8 +50,8 @@
   CHECK(LoadNow(known, "e@2", Now) == nullptr);
 }
 
-// Guards against a damaged report renewing or erasing the one before it.
-TEST_CASE("A missing or unreadable report leaves the one before to age")
+// Guards against a damaged report that renews or erases the previous one.
+TEST_CASE("A missing or unreadable report leaves the previous one to age")
 {
   KnownLoad known;
   TakeLoad(known, Report(1.0, 2.5), "e", Now);
@@ -63,7 +63,7 @@
   CHECK(LoadNow(known, "e", After(250)) == nullptr);
 }
 
-// Guards against an endpoint that attracts calls by a report that lies.
+// Guards against an endpoint that attracts calls by false reports.
 TEST_CASE("Reports that three calls in a row contradict are ignored for 5 s")
 {
   ReportTrust trust;
@@ -79,7 +79,7 @@
     CHECK_FALSE(IsTrusted(trust, After(4999)));
     CHECK(IsTrusted(trust, After(5000)));
   }
-  SECTION("calls take less: it keeps work away without need")
+  SECTION("calls take less time, so reports repel work needlessly")
   {
     CHECK_FALSE(note(0.2));
     CHECK_FALSE(note(0.1));
--- a/Tests/Decision/wgEndpointTermsTest.cxx
+++ b/Tests/Decision/wgEndpointTermsTest.cxx
@@ -25,7 +25,7 @@
   return terms;
 }
 
-/** An answer that names no limit. */
+/** A successful answer without a limit. */
 SenderTerms Unlimited()
 {
   SenderTerms terms;
@@ -35,23 +35,23 @@
 
 } // namespace
 
-TEST_CASE("A limit holds until a later answer does not name it")
+TEST_CASE("A limit holds until a later successful answer has none")
 {
   EndpointTerms known;
   CHECK(TakeTerms(known, Limit(2.0), At(0), At(1)).limit);
   CHECK(known.perSecond == 2.0);
   CHECK_FALSE(TakeTerms(known, Limit(2.0), At(1), At(1.1)).limit);
   CHECK(TakeTerms(known, Limit(0.5), At(1), At(1.2)).limit);
-  // Sent before the limit was told: its answer was overtaken.
+  // Sent before the limit was reported: the answers overtook each other.
   CHECK_FALSE(TakeTerms(known, Unlimited(), At(1.1), At(1.3)).limit);
   CHECK(known.perSecond == 0.5);
-  const SenderTerms refusal; // or one that could not be read
+  const SenderTerms refusal; // or an answer that could not be parsed
   CHECK_FALSE(TakeTerms(known, refusal, At(2), At(2.1)).limit);
   CHECK(TakeTerms(known, Unlimited(), At(2), At(2.1)).limit);
   CHECK_FALSE(known.perSecond);
 }
 
-TEST_CASE("Of limits that other boxes were told the newest holds")
+TEST_CASE("The newest of the limits reported by other boxes holds")
 {
   EndpointTerms known;
   CHECK(TakeLimit(known, 3.0, At(5)));
@@ -61,22 +61,22 @@
   CHECK_FALSE(known.perSecond);
 }
 
-TEST_CASE("A rest ends at the latest time that was asked for")
+TEST_CASE("A backoff ends at the latest time that was requested")
 {
   EndpointTerms known;
-  SenderTerms asks;
-  asks.rest = absl::Seconds(3);
-  CHECK(TakeTerms(known, asks, At(0), At(0)).rest);
-  asks.rest = absl::Seconds(1);
-  CHECK_FALSE(TakeTerms(known, asks, At(0.5), At(0.5)).rest);
+  SenderTerms answer;
+  answer.rest = absl::Seconds(3);
+  CHECK(TakeTerms(known, answer, At(0), At(0)).rest);
+  answer.rest = absl::Seconds(1);
+  CHECK_FALSE(TakeTerms(known, answer, At(0.5), At(0.5)).rest);
   CHECK(IsResting(known, At(2.9)));
   CHECK_FALSE(IsResting(known, At(3)));
-  // An answer of what was sent before does not end it.
+  // An answer to an earlier request does not end it.
   CHECK_FALSE(TakeTerms(known, {}, At(0.4), At(2)).rest);
   CHECK(IsResting(known, At(2.9)));
 }
 
-TEST_CASE("An answer that does not say so takes leaving back")
+TEST_CASE("An announced leave expires but is not withdrawn by answers")
 {
   EndpointTerms known;
   SenderTerms leaves;
