--- a/Source/Decision/wgControlChoice.cxx
+++ b/Source/Decision/wgControlChoice.cxx
@@ -16,7 +16,7 @@
   return XXH64(control.data(), control.size(), seed);
 }
 
-/** All of them, in the order in which the box prefers them. */
+/** Returns the indices of all candidates, the most preferred first. */
 std::vector<std::size_t> Rank(absl::Span<const ControlCandidate> candidates,
                               absl::string_view box)
 {
--- a/Source/Decision/wgControlChoice.h
+++ b/Source/Decision/wgControlChoice.h
@@ -10,19 +10,19 @@
 
 namespace wg {
 
-/** \brief Up to so many control boxes are all followed by each box, and do not
- * tell each other of endpoints: the loss of all but one is borne without any
- * of them passing news on.
+/** \brief Up to this number, each box follows all control boxes, which then do
+ * not exchange updates about endpoints: any one that is left has them all.
  */
 constexpr std::size_t MostFollowedWhole = 6;
 
-/** \brief Where there are more, a box follows so many of its own hall, which
- * it still reaches if the hall is cut off; each failure leaves one.
+/** \brief With more control boxes, a box follows this number in its own hall.
+ * It reaches them even if the hall is unreachable from others, and one remains
+ * after a failure.
  */
 constexpr std::size_t FollowedNear = 2;
 
-/** \brief And so many of other halls, which hear of what the own hall's boxes
- * are cut off from.
+/** \brief It also follows this number in other halls, for updates that the
+ * control boxes of its own hall don't receive.
  */
 constexpr std::size_t FollowedFar = 1;
 
@@ -30,20 +30,20 @@
 struct ControlCandidate
 {
   std::string address;
-  std::string hall;      // empty: not known
-  bool isReached = true; // or was not tried
+  std::string hall;      // empty: unknown
+  bool isReached = true; // or not tried yet
 };
 
-/** \brief The indices of the control boxes that a box follows.
+/** \brief Returns the indices of the control boxes that a box follows.
  *
- * The load: each box that follows a control box costs it a call a second and a
- * copy of all news. Boxes that follow all of them make this grow with boxes
- * times control boxes; a bound on how many a box follows leaves each control
- * box the same number of boxes at any size.
+ * Each follower costs a control box a call a second and a copy of all updates.
+ * If all boxes followed all control boxes, this load would grow with boxes
+ * times control boxes. A bound on the control boxes that a box follows keeps
+ * the followers of each control box constant at any size.
  *
- * Rendezvous hashing spreads the boxes, so that a control box which comes or
- * goes moves those boxes only that follow it. One that is not reached is
- * replaced by the next in order until it is reached again.
+ * Rendezvous hashing spreads the boxes, so that adding or removing a control
+ * box moves only its own followers. An unreached control box is replaced by
+ * the next in order until it is reached again.
  */
 std::vector<std::size_t> ChooseControls(
   absl::Span<const ControlCandidate> candidates, absl::string_view box,
--- a/Source/Decision/wgRouter.cxx
+++ b/Source/Decision/wgRouter.cxx
@@ -9,26 +9,26 @@
 namespace {
 
 constexpr std::size_t MaxPrefixes = 100000;
-/** A prefix that is cached saves this share of the service time. */
+/** The fraction of the service time that a cached prefix saves. */
 constexpr double PrefixSaving = 0.3;
-constexpr double ClearlyDifferent = 1.5;
-/** One that is passed over more often waits for the next round. */
+constexpr double SignificantRatio = 1.5;
+/** Endpoints skipped more often move to the end of the rotation. */
 constexpr int MaxSkipped = 2;
 
-/** An endpoint counts as different from its group only when it clearly is:
- * else the few longer stages that it happened to get would look like
- * slowness.
+/** Returns the endpoint's own service time only if it differs significantly
+ * from the group's. Otherwise a few longer stages that it got by chance would
+ * make it look slow.
  */
-double ServiceSecondsAt(const EndpointState& endpoint, double ofGroup)
+double ServiceSecondsAt(const EndpointState& endpoint, double groupSeconds)
 {
-  const double own = ExpectedSeconds(endpoint.service, ofGroup);
-  const bool different =
-    own > ClearlyDifferent * ofGroup || own * ClearlyDifferent < ofGroup;
-  return different ? own : ofGroup;
+  const double own = ExpectedSeconds(endpoint.service, groupSeconds);
+  const bool different = own > SignificantRatio * groupSeconds ||
+                         own * SignificantRatio < groupSeconds;
+  return different ? own : groupSeconds;
 }
 
-/** What other boxes have there. The older a report is against the time of a
- * stage, the less it says.
+/** Estimates the stages of other boxes at the endpoint. A report loses weight
+ * with its age, relative to the service time.
  */
 double OthersAt(const EndpointState& endpoint, const RouteQuery& query,
                 double service)
@@ -41,44 +41,44 @@
   return others * service / (service + age);
 }
 
-std::vector<std::size_t> WithPlace(absl::Span<const EndpointState> group,
-                                   std::size_t avoid, PlaceRule rule)
+std::vector<std::size_t> WithFreeSlot(absl::Span<const EndpointState> group,
+                                      std::size_t avoid, PlaceRule rule)
 {
-  std::vector<std::size_t> open;
+  std::vector<std::size_t> available;
   for (std::size_t i = 0; i < group.size(); ++i) {
     if (i != avoid && HasPlace(group[i], rule)) {
-      open.push_back(i);
+      available.push_back(i);
     }
   }
   const bool onlyAvoided =
-    open.empty() && avoid < group.size() && HasPlace(group[avoid], rule);
+    available.empty() && avoid < group.size() && HasPlace(group[avoid], rule);
   if (onlyAvoided) {
-    open.push_back(avoid);
+    available.push_back(avoid);
   }
-  return open;
+  return available;
 }
 
-/** Keeps those that were compared longest ago: the turn goes round, so that
- * a box spreads its own work evenly whatever late reports say.
+/** Keeps the endpoints compared longest ago. This rotation spreads a box's own
+ * work evenly even if reports are late.
  */
 void KeepLongestAgo(absl::Span<const EndpointState> group,
-                    std::vector<std::size_t>& open, std::size_t count,
+                    std::vector<std::size_t>& available, std::size_t count,
                     absl::BitGenRef random)
 {
-  std::shuffle(open.begin(), open.end(), random);
-  if (open.size() <= count) {
+  std::shuffle(available.begin(), available.end(), random);
+  if (available.size() <= count) {
     return;
   }
-  std::partial_sort(open.begin(),
-                    open.begin() + static_cast<std::ptrdiff_t>(count),
-                    open.end(), [&group](std::size_t a, std::size_t b) {
+  std::partial_sort(available.begin(),
+                    available.begin() + static_cast<std::ptrdiff_t>(count),
+                    available.end(), [&group](std::size_t a, std::size_t b) {
                       return group[a].compared < group[b].compared;
                     });
-  open.resize(count);
+  available.resize(count);
 }
 
 RouteDecision ChooseByFinish(absl::Span<const EndpointState> group,
-                             std::vector<std::size_t> open,
+                             std::vector<std::size_t> available,
                              const RouteQuery& query,
                              const PrefixTable& prefixes,
                              absl::BitGenRef random)
@@ -88,17 +88,17 @@
       query.prefix != 0 && found != prefixes.lastServed.end()) {
     cachedAt = found->second;
   }
-  const bool cachedIsOpen =
-    std::find(open.begin(), open.end(), cachedAt) != open.end();
-  KeepLongestAgo(group, open, query.choices, random);
+  const bool cachedIsAvailable =
+    std::find(available.begin(), available.end(), cachedAt) != available.end();
+  KeepLongestAgo(group, available, query.choices, random);
   const bool kept =
-    std::find(open.begin(), open.end(), cachedAt) != open.end();
-  if (cachedIsOpen && !kept) {
-    open.push_back(cachedAt);
+    std::find(available.begin(), available.end(), cachedAt) != available.end();
+  if (cachedIsAvailable && !kept) {
+    available.push_back(cachedAt);
   }
   RouteDecision decision;
   double best = 0.0;
-  for (const std::size_t index : open) {
+  for (const std::size_t index : available) {
     double finish = ExpectedFinishSeconds(group[index], query);
     if (index == cachedAt) {
       finish *= 1.0 - PrefixSaving;
@@ -113,9 +113,9 @@
 }
 
 std::size_t LeastOutstanding(absl::Span<const EndpointState> group,
-                             absl::Span<const std::size_t> open)
+                             absl::Span<const std::size_t> available)
 {
-  return *std::min_element(open.begin(), open.end(),
+  return *std::min_element(available.begin(), available.end(),
                            [&group](std::size_t a, std::size_t b) {
                              return group[a].running < group[b].running;
                            });
@@ -138,23 +138,25 @@
   const RouteQuery& query, const PrefixTable& prefixes,
   std::uint64_t& roundRobin, absl::BitGenRef random)
 {
-  std::vector<std::size_t> open = WithPlace(group, query.avoid, query.rule);
-  if (open.empty()) {
+  std::vector<std::size_t> available =
+    WithFreeSlot(group, query.avoid, query.rule);
+  if (available.empty()) {
     return std::nullopt;
   }
   switch (policy) {
     case RoutePolicy::ExpectedFinish:
-      return ChooseByFinish(group, std::move(open), query, prefixes, random);
+      return ChooseByFinish(group, std::move(available), query, prefixes,
+                            random);
     case RoutePolicy::Random:
       return RouteDecision{
-        open[absl::Uniform<std::size_t>(random, 0, open.size())], {}
+        available[absl::Uniform<std::size_t>(random, 0, available.size())], {}
       };
     case RoutePolicy::RoundRobin:
-      return RouteDecision{ open[roundRobin++ % open.size()], {} };
+      return RouteDecision{ available[roundRobin++ % available.size()], {} };
     case RoutePolicy::LeastOutstanding:
       break;
   }
-  return RouteDecision{ LeastOutstanding(group, open), {} };
+  return RouteDecision{ LeastOutstanding(group, available), {} };
 }
 
 void NoteChoice(absl::Span<EndpointState> group, const RouteDecision& choice,
--- a/Source/Decision/wgRouter.h
+++ b/Source/Decision/wgRouter.h
@@ -14,7 +14,7 @@
 
 namespace wg {
 
-/** \brief How the router chooses; the others are baselines to measure by. */
+/** \brief ExpectedFinish is for production, the others are baselines. */
 enum class RoutePolicy
 {
   ExpectedFinish,
@@ -23,54 +23,54 @@
   LeastOutstanding
 };
 
-/** \brief What the choice of an endpoint depends on. */
+/** \brief The inputs to the choice of an endpoint. */
 struct RouteQuery
 {
   std::uint64_t prefix = 0;  // hash of the prompt's prefix; 0: none
-  double priorSeconds = 0.1; // of the whole group
+  double priorSeconds = 0.1; // mean service time of the group
   Elapsed now;
-  std::size_t avoid = SIZE_MAX; // where an earlier attempt failed
-  std::size_t choices = 3;      // how many are compared
+  std::size_t avoid = SIZE_MAX; // endpoint at which an earlier attempt failed
+  std::size_t choices = 3;      // number of endpoints compared
   PlaceRule rule = PlaceRule::Any;
 };
 
-/** \brief One endpoint that was compared. */
 struct RouteCandidate
 {
   std::size_t endpoint = 0;
-  double finishSeconds = 0.0;
+  double finishSeconds = 0.0; // from now
 };
 
-/** \brief The choice, and what it was made from. */
+/** \brief The chosen endpoint and those it was compared with. */
 struct RouteDecision
 {
   std::size_t endpoint = 0;
   std::vector<RouteCandidate> compared;
 };
 
-/** \brief Which endpoint last served a prompt prefix. Bounded. */
+/** \brief The endpoint that last served each prompt prefix. Bounded. */
 struct PrefixTable
 {
   absl::flat_hash_map<std::uint64_t, std::size_t> lastServed;
 };
 
-/** \brief How long until a stage sent there now would be done, seconds. */
+/** \brief Returns the time until a stage sent there now is expected to finish,
+ * in seconds.
+ */
 double ExpectedFinishSeconds(const EndpointState& endpoint,
                              const RouteQuery& query);
 
-/** \brief Chooses among the endpoints that have a place; nothing if none. */
+/** \brief Chooses an endpoint with a free slot; nothing if there is none. */
 std::optional<RouteDecision> ChooseEndpoint(
   RoutePolicy policy, absl::Span<const EndpointState> group,
   const RouteQuery& query, const PrefixTable& prefixes,
   std::uint64_t& roundRobin, absl::BitGenRef random);
 
-/** \brief Counts the stage at the chosen endpoint, and moves those that were
- * compared back in the order in which they are compared again.
+/** \brief Counts the stage as running at the chosen endpoint. That endpoint,
+ * and those skipped too often, move to the end of the rotation.
  */
 void NoteChoice(absl::Span<EndpointState> group, const RouteDecision& choice,
                 std::uint64_t order);
 
-/** \brief Remembers where a prefix was served, or forgets it there. */
 void NotePrefix(PrefixTable& prefixes, std::uint64_t prefix,
                 std::size_t endpoint);
 void ForgetPrefix(PrefixTable& prefixes, std::uint64_t prefix);
--- a/Source/Decision/wgSendRate.cxx
+++ b/Source/Decision/wgSendRate.cxx
@@ -6,26 +6,26 @@
 namespace wg {
 namespace {
 
-/** Requests are sent so often to an endpoint that takes fewer, or none: only
- * an answer tells that its limit has ended.
+/** The rate for endpoints with a lower limit, or a limit of 0: only an answer
+ * shows that the limit has ended.
  */
-constexpr double LeastPerSecond = 0.1;
-/** What was not sent may be sent later for so long. */
+constexpr double MinPerSecond = 0.1;
+/** A bucket holds the tokens of this time, but at least one. */
 constexpr double BurstSeconds = 0.1;
-/** What adding up many fractions may leave out of a whole request. */
-constexpr double Rounding = 1e-6;
+/** Allows for rounding errors when fractions add up to a whole token. */
+constexpr double RoundingError = 1e-6;
 
 double PerSecond(const SendRate& rate)
 {
-  return std::max(rate.perSecond, LeastPerSecond) *
-         (rate.isSettled ? SettledShare : UnsettledShare);
+  return std::max(rate.perSecond, MinPerSecond) *
+         (rate.isSettled ? SettledShare : UnsettledFraction);
 }
 
 void Fill(SendBucket& bucket, double perSecond, Elapsed now)
 {
-  const double most = std::max(1.0, perSecond * BurstSeconds);
+  const double maxTokens = std::max(1.0, perSecond * BurstSeconds);
   const double since = absl::ToDoubleSeconds(now - bucket.filled);
-  bucket.tokens = std::min(most, bucket.tokens + perSecond * since);
+  bucket.tokens = std::min(maxTokens, bucket.tokens + perSecond * since);
   bucket.filled = now;
 }
 
@@ -34,7 +34,7 @@
 bool TakeSend(SendBucket& bucket, const SendRate& rate, Elapsed now)
 {
   Fill(bucket, PerSecond(rate), now);
-  if (bucket.tokens < 1.0 - Rounding) {
+  if (bucket.tokens < 1.0 - RoundingError) {
     return false;
   }
   bucket.tokens = std::max(0.0, bucket.tokens - 1.0);
--- a/Source/Decision/wgSendRate.h
+++ b/Source/Decision/wgSendRate.h
@@ -7,39 +7,41 @@
 
 namespace wg {
 
-/** \brief A token bucket: how many requests an endpoint with a limit may be
- * sent by now, from all boxes together.
+/** \brief A token bucket of the requests that all boxes together may send to
+ * an endpoint with a rate limit.
  */
 struct SendBucket
 {
-  double tokens = 0.0;
-  Elapsed filled;
+  double tokens = 0.0; // requests
+  Elapsed filled;      // time of the last refill
 };
 
-/** \brief What a bucket is filled by. */
+/** \brief The rate at which a bucket is refilled. */
 struct SendRate
 {
-  double perSecond = 0.0; // as the endpoint names it
-  /** Whether this box has handed out what all boxes may send for LimitWindow,
-   * so that no other box does so too.
+  double perSecond = 0.0; // limit of the endpoint
+  /** Whether this box has granted the permits of all boxes for LimitWindow, so
+   * that no other box still grants any.
    */
   bool isSettled = true;
 };
 
-/** \brief The bound that endpoints are protected by is on windows this long.
- */
+/** \brief Windows of this length stay within an endpoint's limit. */
 constexpr absl::Duration LimitWindow = absl::Seconds(4);
 
-/** \brief Of the limit, what a settled box hands out, and one that is not:
- * while coordinators change, two boxes together stay within the limit.
+/** \brief The fractions of the limit that a settled and an unsettled box
+ * grant. While the coordinator changes, two boxes together stay within the
+ * limit.
  */
 constexpr double SettledShare = 0.75;
-constexpr double UnsettledShare = 1.0 - SettledShare;
+constexpr double UnsettledFraction = 1.0 - SettledShare;
 
-/** \brief Takes one request from the bucket if it holds one. */
+/** \brief Removes one token and returns true, or returns false if there is
+ * none.
+ */
 bool TakeSend(SendBucket& bucket, const SendRate& rate, Elapsed now);
 
-/** \brief How long until it holds one. */
+/** \brief Returns the time until the bucket holds a token. */
 absl::Duration TimeUntilSend(SendBucket& bucket, const SendRate& rate,
                              Elapsed now);
 
--- a/Tests/Decision/wgControlChoiceTest.cxx
+++ b/Tests/Decision/wgControlChoiceTest.cxx
@@ -32,12 +32,12 @@
 
 } // namespace
 
-TEST_CASE("Few control boxes are all followed")
+TEST_CASE("Up to six control boxes are all followed")
 {
   CHECK(wg::ChooseControls(MakeControls(3, 2), "box", "h0").size() == 6);
 }
 
-TEST_CASE("Boxes spread over the control boxes of their hall and others")
+TEST_CASE("Boxes spread over the control boxes of their hall and of others")
 {
   const int inHall = GENERATE(5, 10);
   const int boxes = 200 * inHall;
@@ -56,7 +56,7 @@
       ++followers[control];
     }
   }
-  // At any size each has some 120 of them.
+  // At any size each has some 120 followers.
   REQUIRE(followers.size() == controls.size());
   for (const auto& [control, count] : followers) {
     CHECK(count > 60);
@@ -64,7 +64,7 @@
   }
 }
 
-TEST_CASE("A control box that is lost moves those boxes only that follow it")
+TEST_CASE("A lost control box moves only the boxes that follow it")
 {
   auto controls = MakeControls(5, 5);
   const std::size_t lost = 7;
@@ -86,7 +86,7 @@
   }
 }
 
-TEST_CASE("A box whose hall is cut off follows those of its hall")
+TEST_CASE("A box in an unreachable hall follows the control boxes of its hall")
 {
   auto controls = MakeControls(5, 5);
   for (wg::ControlCandidate& control : controls) {
@@ -99,7 +99,7 @@
   }
 }
 
-TEST_CASE("A box that knows no halls yet follows some control boxes")
+TEST_CASE("A box that knows no halls yet follows three control boxes")
 {
   auto controls = MakeControls(5, 5);
   for (wg::ControlCandidate& control : controls) {
--- a/Tests/Decision/wgSendRateTest.cxx
+++ b/Tests/Decision/wgSendRateTest.cxx
@@ -11,12 +11,14 @@
 
 constexpr Elapsed Start = absl::Seconds(50);
 constexpr absl::Duration Step = absl::Milliseconds(1);
-/** What two boxes saved up before, one request each at small limits. */
+/** Unused tokens of two boxes, one each at small limits. */
 constexpr double Burst = 2.0;
-/** At large limits, the share of a second's worth that is saved up. */
-constexpr double BurstShare = 0.1;
+/** Unused tokens at large limits, in seconds of the limit. */
+constexpr double BurstSeconds = 0.1;
 
-/** What is sent in a LimitWindow by boxes that always have more to send. */
+/** Counts the requests of permanently backlogged boxes in a LimitWindow.
+ * \param before idle time of the boxes before the window
+ */
 int SendInWindow(std::vector<wg::SendRate> rates, absl::Duration before)
 {
   std::vector<wg::SendBucket> buckets(rates.size());
@@ -34,19 +36,19 @@
 
 } // namespace
 
-TEST_CASE("Two boxes that hand out the same limit exceed it")
+TEST_CASE("Two boxes that grant the same limit stay within it")
 {
   for (const double limit : { 0.0, 0.25, 1.0, 2.5, 10.0, 50.0, 400.0 }) {
     CAPTURE(limit);
     const double allowed =
-      limit * (absl::ToDoubleSeconds(wg::LimitWindow) + BurstShare) + Burst;
+      limit * (absl::ToDoubleSeconds(wg::LimitWindow) + BurstSeconds) + Burst;
     const wg::SendRate settled{ limit, true };
     const wg::SendRate other{ limit, false };
     CHECK(SendInWindow({ settled, other }, absl::Hours(1)) <= allowed);
   }
 }
 
-TEST_CASE("A settled box leaves more of a limit unused than its share")
+TEST_CASE("A settled box grants its whole fraction of a limit")
 {
   for (const double limit : { 0.25, 1.0, 2.5, 10.0, 50.0, 400.0 }) {
     CAPTURE(limit);
@@ -56,7 +58,7 @@
   }
 }
 
-TEST_CASE("An endpoint that takes nothing is asked now and then")
+TEST_CASE("An endpoint with a limit of 0 still gets a request now and then")
 {
   wg::SendBucket bucket;
   bucket.filled = Start;
@@ -68,7 +70,7 @@
   CHECK(TakeSend(bucket, none, Start + wait));
 }
 
-TEST_CASE("A clock that is read out of order gives nothing")
+TEST_CASE("Times that run backwards add no tokens")
 {
   wg::SendBucket bucket;
   bucket.filled = Start;
