--- a/Source/Decision/wgEndpointSpeed.cxx
+++ b/Source/Decision/wgEndpointSpeed.cxx
@@ -24,9 +24,9 @@
  */
 constexpr double PriorSamples = 4.0;
 constexpr double KnownConfidence = 0.5;
-/** Logarithm of 22%: lasting slowdowns closer than this to the peers' median
- * are within the measurement noise. After four samples of which one fell into
- * a busy moment, equal endpoints differ by up to 15%.
+/** As a logarithm (22%): lasting slowdowns closer to the peers' median than
+ * this are within the measurement noise. After four samples of which one fell
+ * into a busy moment, equal endpoints differ by up to 15%.
  */
 constexpr double NoiseLog = 0.2;
 constexpr double TransientMemorySeconds = 0.5;
--- a/Source/Decision/wgEndpointSpeed.h
+++ b/Source/Decision/wgEndpointSpeed.h
@@ -14,7 +14,7 @@
 struct SlowdownEstimate
 {
   double factor = 1.0;     // time taken, as a multiple of the usual time
-  double confidence = 0.0; // from 0, nothing known, to 1
+  double confidence = 0.0; // from 0 (nothing known) to 1
 };
 
 /** \brief The measured speed of one start of an endpoint. Logs are natural
@@ -25,7 +25,7 @@
   double lastingLog = 0.0;
   double samples = 0.0; // independent ones, in lastingLog
   double transientLog = 0.0;
-  double transientSamples = 0.0; // decayed by age
+  double transientSamples = 0.0; // weighted by recency
   Elapsed noted;                 // time of the last sample
   int consecutiveSlow = 0;
   int consecutiveHealthy = 0;
