--- a/Source/Decision/wgPoolForecast.cxx
+++ b/Source/Decision/wgPoolForecast.cxx
@@ -8,34 +8,42 @@
 namespace wg {
 namespace {
 
-/** Long enough for a few requests of each kind, short against the 5 to 6 s
- * that bursts last.
+/** Long enough for a few requests of each kind, short compared with bursts,
+ * which last 5 to 6 s.
  */
-constexpr double DemandSeconds = 1.0;
-/** However much more urgent kinds ask for, the others get some. */
-constexpr double LeastShareLeft = 0.1;
-/** Calls take 0.2 to 0.4 s: several calls of each endpoint. */
-constexpr double BusyMemorySeconds = 2.0;
-/** With less, what was started before the pool was busy would be missed. */
-constexpr double LeastBusySeconds = 0.8;
-/** A rate that is measured too low refuses work and so stays unmeasured. */
-constexpr double LeastOfExpected = 0.25;
-/** Callers that are told to come back are given up on so long after it. */
-constexpr absl::Duration ReturnMemory = absl::Milliseconds(500);
-/** Callers wait no longer than a third of what they have left. */
-constexpr absl::Duration LongestReturn = absl::Seconds(10);
+constexpr double DemandTimeConstantSeconds = 1.0;
+/** Of the pool's rate: less urgent ranks keep this much at any demand of more
+ * urgent ones.
+ */
+constexpr double MinRemainingFraction = 0.1;
+/** Covers several calls of each endpoint; a call takes 0.2 to 0.4 s. */
+constexpr double BusyTimeConstantSeconds = 2.0;
+/** Over a shorter busy time, the measured rate is too low: pieces started just
+ * before the pool became busy are not counted.
+ */
+constexpr double MinBusySeconds = 0.8;
+/** Lower bound of the measured rate: with too low a rate, work is refused, the
+ * pool is not busy, and the rate is not measured again.
+ */
+constexpr double MinFractionOfExpected = 0.25;
+/** A scheduled retry counts until this long after its time. */
+constexpr absl::Duration RetryGracePeriod = absl::Milliseconds(500);
+/** Callers wait at most a third of their remaining time before a retry. */
+constexpr absl::Duration MaxRetryDelay = absl::Seconds(10);
+/** Assumed for a pool none of whose endpoints accepts calls. */
 constexpr double NoRateWaitSeconds = 0.3;
 
-double SecondsOf(const PoolRate& rate, double pieces)
+double SecondsToStart(const PoolRate& rate, double pieces)
 {
   return pieces / rate.piecesPerSecond;
 }
 
-/** When the pool has started all of this work, in seconds from now, if it
- * starts it as it arrives.
+/** Returns the time until the pool has started all of this work, in seconds
+ * from now, if it serves the work in order of arrival.
  */
-double StartedAfter(const PoolRate& rate, std::vector<const PendingWork*> work,
-                    Elapsed now)
+double SecondsUntilAllStarted(const PoolRate& rate,
+                              std::vector<const PendingWork*> work,
+                              Elapsed now)
 {
   std::sort(work.begin(), work.end(),
             [](const PendingWork* a, const PendingWork* b) {
@@ -44,26 +52,30 @@
   double clock = rate.secondsUntilFree;
   for (const PendingWork* each : work) {
     clock = std::max(clock, absl::ToDoubleSeconds(each->earliest - now)) +
-            SecondsOf(rate, each->pieces);
+            SecondsToStart(rate, each->pieces);
   }
   return clock;
 }
 
-/** Work that fits a call goes along with what is ahead of it. */
-double StartSeconds(const PoolRate& rate, double startedAhead,
-                    const PendingWork& asked, Elapsed now)
+/** Returns the time until a call with the requested work starts, in seconds
+ * from now. The work shares a call with the work ahead of it where it fits.
+ */
+double SecondsUntilStart(const PoolRate& rate, double secondsAhead,
+                         const PendingWork& requested, Elapsed now)
 {
-  const double roomInCall = std::max(0.0, rate.piecesPerCall - asked.pieces);
-  const double shared = startedAhead - SecondsOf(rate, roomInCall);
+  const double unusedPieces =
+    std::max(0.0, rate.piecesPerCall - requested.pieces);
+  const double shared = secondsAhead - SecondsToStart(rate, unusedPieces);
   return std::max({ rate.secondsUntilFree, shared,
-                    absl::ToDoubleSeconds(asked.earliest - now) });
+                    absl::ToDoubleSeconds(requested.earliest - now) });
 }
 
-/** Whether the asked work makes other work late that would have been in time
- * without it. Orders are compared by the pieces ahead alone.
+/** Returns whether the requested work makes other work late that would start
+ * in time without it. Start times are estimated from the pieces ahead alone;
+ * times of arrival are ignored.
  */
 bool DelaysOthers(const PoolRate& rate, absl::Span<const PendingWork> pending,
-                  const PendingWork& asked, Elapsed now)
+                  const PendingWork& requested, Elapsed now)
 {
   std::vector<const PendingWork*> byOrder;
   byOrder.reserve(pending.size());
@@ -76,10 +88,11 @@
             });
   double ahead = 0.0;
   for (const PendingWork* each : byOrder) {
-    const bool isBehind = each->order > asked.order;
-    if (isBehind && each->rank <= asked.rank) {
-      const double before = rate.secondsUntilFree + SecondsOf(rate, ahead);
-      const double after = before + SecondsOf(rate, asked.pieces);
+    const bool isBehind = each->order > requested.order;
+    if (isBehind && each->rank <= requested.rank) {
+      const double before =
+        rate.secondsUntilFree + SecondsToStart(rate, ahead);
+      const double after = before + SecondsToStart(rate, requested.pieces);
       const double mayWait = absl::ToDoubleSeconds(each->startBy - now);
       if (before <= mayWait && after > mayWait) {
         return true;
@@ -90,35 +103,36 @@
   return false;
 }
 
-double Decayed(double value, double seconds, double memory)
+double Decayed(double value, double seconds, double timeConstant)
 {
-  return value * std::exp(-std::max(0.0, seconds) / memory);
+  return value * std::exp(-std::max(0.0, seconds) / timeConstant);
 }
 
 } // namespace
 
 WorkForecast ForecastWork(const PoolRate& rate,
                           absl::Span<const PendingWork> pending,
-                          const PendingWork& asked, Elapsed now)
+                          const PendingWork& requested, Elapsed now)
 {
   WorkForecast forecast;
   if (rate.piecesPerSecond <= 0.0) {
     forecast.wait = absl::Seconds(rate.secondsUntilFree + NoRateWaitSeconds);
-    forecast.isInTime = now + forecast.wait <= asked.startBy;
+    forecast.isInTime = now + forecast.wait <= requested.startBy;
     return forecast;
   }
   std::vector<const PendingWork*> ahead;
   for (const PendingWork& each : pending) {
-    if (each.order <= asked.order && each.earliest < asked.startBy) {
+    if (each.order <= requested.order && each.earliest < requested.startBy) {
       ahead.push_back(&each);
     }
   }
   const bool isLast = ahead.size() == pending.size();
-  const double started = StartedAfter(rate, std::move(ahead), now);
-  forecast.wait = absl::Seconds(StartSeconds(rate, started, asked, now));
-  forecast.isInTime = now + forecast.wait <= asked.startBy;
-  forecast.delaysOthers =
-    !isLast && forecast.isInTime && DelaysOthers(rate, pending, asked, now);
+  const double started = SecondsUntilAllStarted(rate, std::move(ahead), now);
+  forecast.wait =
+    absl::Seconds(SecondsUntilStart(rate, started, requested, now));
+  forecast.isInTime = now + forecast.wait <= requested.startBy;
+  forecast.delaysOthers = !isLast && forecast.isInTime &&
+                          DelaysOthers(rate, pending, requested, now);
   return forecast;
 }
 
@@ -132,14 +146,14 @@
   for (const PendingWork& each : pending) {
     all.push_back(&each);
   }
-  return StartedAfter(rate, std::move(all), now);
+  return SecondsUntilAllStarted(rate, std::move(all), now);
 }
 
 void NoteDemand(RankDemand& demand, int rank, double pieces, Elapsed now)
 {
   const double age = absl::ToDoubleSeconds(now - demand.noted);
   for (auto& [known, sum] : demand.pieces) {
-    sum = Decayed(sum, age, DemandSeconds);
+    sum = Decayed(sum, age, DemandTimeConstantSeconds);
   }
   demand.noted = now;
   demand.pieces[rank] += pieces;
@@ -150,9 +164,10 @@
   const double age = absl::ToDoubleSeconds(now - demand.noted);
   double urgent = 0.0;
   for (const auto& [known, sum] : demand.pieces) {
-    urgent += known < rank ? Decayed(sum, age, DemandSeconds) : 0.0;
+    urgent +=
+      known < rank ? Decayed(sum, age, DemandTimeConstantSeconds) : 0.0;
   }
-  return urgent / DemandSeconds;
+  return urgent / DemandTimeConstantSeconds;
 }
 
 PoolRate RateLeft(const PoolRate& rate, const RankDemand& demand, int rank,
@@ -160,7 +175,7 @@
 {
   PoolRate left = rate;
   left.piecesPerSecond =
-    std::max(LeastShareLeft * rate.piecesPerSecond,
+    std::max(MinRemainingFraction * rate.piecesPerSecond,
              rate.piecesPerSecond - UrgentDemand(demand, rank, now));
   return left;
 }
@@ -168,9 +183,9 @@
 void NoteBusy(BusyRate& busy, bool isBusy, Elapsed now)
 {
   const double age = absl::ToDoubleSeconds(now - busy.noted);
-  busy.pieces = Decayed(busy.pieces, age, BusyMemorySeconds);
-  busy.seconds = Decayed(busy.seconds, age, BusyMemorySeconds);
-  busy.seconds += busy.isBusy ? std::min(age, BusyMemorySeconds) : 0.0;
+  busy.pieces = Decayed(busy.pieces, age, BusyTimeConstantSeconds);
+  busy.seconds = Decayed(busy.seconds, age, BusyTimeConstantSeconds);
+  busy.seconds += busy.isBusy ? std::min(age, BusyTimeConstantSeconds) : 0.0;
   busy.isBusy = isBusy;
   busy.noted = now;
 }
@@ -182,13 +197,14 @@
 
 PoolRate ObservedRate(const PoolRate& expected, const BusyRate& busy)
 {
-  if (busy.seconds < LeastBusySeconds) {
+  if (busy.seconds < MinBusySeconds) {
     return expected;
   }
   PoolRate rate = expected;
-  rate.piecesPerSecond = std::clamp(busy.pieces / busy.seconds,
-                                    LeastOfExpected * expected.piecesPerSecond,
-                                    expected.piecesPerSecond);
+  rate.piecesPerSecond =
+    std::clamp(busy.pieces / busy.seconds,
+               MinFractionOfExpected * expected.piecesPerSecond,
+               expected.piecesPerSecond);
   return rate;
 }
 
@@ -196,21 +212,21 @@
                              absl::Span<const PendingWork> pending,
                              double pieces, Elapsed now)
 {
-  auto& returns = promised.returns;
-  while (!returns.empty() && returns.front().at + ReturnMemory < now) {
-    returns.pop_front();
+  auto& retries = promised.retries;
+  while (!retries.empty() && retries.front().at + RetryGracePeriod < now) {
+    retries.pop_front();
   }
   double before = 0.0;
-  for (const auto& each : returns) {
+  for (const auto& each : retries) {
     before += each.pieces;
   }
   double seconds = SecondsToClear(rate, pending, now);
   if (rate.piecesPerSecond > 0.0) {
-    seconds += SecondsOf(rate, before);
+    seconds += SecondsToStart(rate, before);
   }
-  const absl::Duration wait = std::min(LongestReturn, absl::Seconds(seconds));
-  if (wait < LongestReturn) {
-    returns.push_back({ now + wait, pieces });
+  const absl::Duration wait = std::min(MaxRetryDelay, absl::Seconds(seconds));
+  if (wait < MaxRetryDelay) {
+    retries.push_back({ now + wait, pieces });
   }
   return wait;
 }
--- a/Source/Decision/wgPoolForecast.h
+++ b/Source/Decision/wgPoolForecast.h
@@ -11,69 +11,75 @@
 
 namespace wg {
 
-/** \brief How fast a pool starts pieces, all its endpoints together. */
+/** \brief The rate at which all endpoints of a pool together start pieces. */
 struct PoolRate
 {
-  double piecesPerSecond = 0.0;  // 0: no endpoint takes calls
-  double piecesPerCall = 1.0;    // of a full one
+  double piecesPerSecond = 0.0;  // 0: no endpoint accepts calls
+  double piecesPerCall = 1.0;    // in a full call
   double secondsUntilFree = 0.0; // until the next call can start
 };
 
-/** \brief Work that a pool has been given or has reserved capacity for. */
+/** \brief Work that waits at a pool or holds a reservation of its capacity. */
 struct PendingWork
 {
-  Elapsed order; // the least is served first
+  Elapsed order; // work with the smallest value is served first
   int rank = 0;  // 0 is the most urgent
   double pieces = 0.0;
-  Elapsed earliest; // when it arrives; in the past: it waits
-  Elapsed startBy;  // when its call must start
+  Elapsed earliest; // time of arrival; in the past if the work waits already
+  Elapsed startBy;  // latest time at which its call may start
 };
 
-/** \brief What would become of work that is asked for. */
+/** \brief Estimate for requested work. */
 struct WorkForecast
 {
-  absl::Duration wait; // until its call would start
+  absl::Duration wait; // until the call with the work would start
   bool isInTime = false;
-  /** Whether work of the same or a better rank would no longer be in time. */
+  /** Whether pending work of the same or a more urgent rank would start too
+   * late because of the requested work.
+   */
   bool delaysOthers = false;
 };
 
-/** \brief When a call with the asked work would start, behind the pending work
- * that is served before it.
+/** \brief Estimates when a call with the requested work would start, behind
+ * the pending work that is served before it.
  *
- * Work that was admitted by other boxes counts before it arrives: in a burst
- * of 2.4 times the usual requests, 59 boxes that judged by waits they were
- * told each admitted to the same capacity, and 2,300 pieces waited where 540 a
- * second were served.
+ * The pending work includes work that other boxes have admitted and that has
+ * not arrived yet. Without it, 59 boxes that admitted by the last reported
+ * waits all used the same capacity: in a burst of 2.4 times the usual
+ * requests, 2,300 pieces waited at a pool that served 540 a second.
  */
 WorkForecast ForecastWork(const PoolRate& rate,
                           absl::Span<const PendingWork> pending,
-                          const PendingWork& asked, Elapsed now);
+                          const PendingWork& requested, Elapsed now);
 
-/** \brief How long until all pending work has started, in seconds. */
+/** \brief Returns the time until all pending work has started, in seconds. */
 double SecondsToClear(const PoolRate& rate,
                       absl::Span<const PendingWork> pending, Elapsed now);
 
-/** \brief Pieces asked for lately, by rank, as decaying sums. */
+/** \brief Recently requested pieces by rank, as exponentially decaying sums.
+ */
 struct RankDemand
 {
   std::map<int, double> pieces;
   Elapsed noted;
 };
 
+/** \brief Records that work of a rank was requested. */
 void NoteDemand(RankDemand& demand, int rank, double pieces, Elapsed now);
 
-/** \brief Pieces a second that more urgent ranks have asked for lately. */
+/** \brief Returns the recent demand of all more urgent ranks, in pieces per
+ * second.
+ */
 double UrgentDemand(const RankDemand& demand, int rank, Elapsed now);
 
-/** \brief The rate that is left for a rank: more urgent work that comes while
- * it waits goes before it.
+/** \brief Returns the pool's rate less the recent demand of more urgent ranks.
+ * More urgent work that arrives while work of this rank waits is served first.
  */
 PoolRate RateLeft(const PoolRate& rate, const RankDemand& demand, int rank,
                   Elapsed now);
 
-/** \brief How fast pieces were started while others kept waiting, as decaying
- * sums.
+/** \brief The rate at which a busy pool started pieces, as exponentially
+ * decaying sums. A pool is busy while more pieces wait than fit into a call.
  */
 struct BusyRate
 {
@@ -83,30 +89,36 @@
   bool isBusy = false;
 };
 
-/** \brief Time passes with more pieces waiting than fit a call, or not. */
+/** \brief Records whether the pool is busy from now on. */
 void NoteBusy(BusyRate& busy, bool isBusy, Elapsed now);
+/** \brief Records started pieces; those started while the pool is not busy do
+ * not count.
+ */
 void NoteStarted(BusyRate& busy, double pieces);
 
-/** \brief The rate by what endpoints should do, or by what they did where the
- * pool was busy for long enough lately: room for results, other senders or
- * slow endpoints may bind.
+/** \brief Returns the measured rate if the pool was busy for long enough
+ * recently, else the expected one. Full result buffers, calls of other boxes
+ * or slow endpoints may keep a pool below its expected rate.
  */
 PoolRate ObservedRate(const PoolRate& expected, const BusyRate& busy);
 
-/** \brief Callers that were told to come back, by when. */
+/** \brief Retries that refused callers were told to make, with their times. */
 struct PromisedReturns
 {
-  struct Return
+  struct Retry
   {
     Elapsed at;
     double pieces = 0.0;
   };
-  std::deque<Return> returns; // in the order in which they were told
+  std::deque<Retry> retries; // in the order in which callers were refused
 };
 
-/** \brief When a refused caller finds capacity: once the pending work has
- * started, and that of callers who were told to come back before it. Counts
- * the caller among those.
+/** \brief Returns the delay after which a refused caller should retry, and
+ * adds this retry to the scheduled ones.
+ *
+ * The delay lasts until the pending work and the work of all retries scheduled
+ * before have started.
+ * \param pieces of the refused request
  */
 absl::Duration PromiseReturn(PromisedReturns& promised, const PoolRate& rate,
                              absl::Span<const PendingWork> pending,
