--- a/Source/Decision/wgChainAdmission.cxx
+++ b/Source/Decision/wgChainAdmission.cxx
@@ -8,18 +8,18 @@
 namespace wg {
 namespace {
 
-/** Of the aim and of the deadline: calls take up to a tenth longer than they
- * should where nothing is wrong.
+/** Of the latency answerBy and of the deadline: calls take up to a tenth
+ * longer than expected without any fault.
  */
-constexpr double UsedShare = 0.9;
-constexpr double GuessShare = 0.5;
-/** Of the time that a chain can wait in all. A queue serves no more for being
- * longer: with all of it the pools were kept so full that a third of what was
- * admitted in a burst ended late.
+constexpr double UsedFraction = 0.9;
+constexpr double EstimateFraction = 0.5;
+/** Of the time that a chain can wait in all. A longer queue serves no more
+ * work: with all of this time used, a third of the work admitted in a burst
+ * ended late.
  */
-constexpr double WaitShare = 0.5;
+constexpr double WaitFraction = 0.5;
 
-/** The number of stages from each to the end, one after the other. */
+/** The length of the longest path from each stage to the end, in stages. */
 std::vector<int> LevelsToEnd(const StagePlan& plan)
 {
   std::vector<int> levels(plan.stages.size(), 1);
@@ -31,8 +31,8 @@
   return levels;
 }
 
-/** A stage on a shorter branch is submitted with those that are as far from
- * the end.
+/** A stage on a shorter branch is submitted together with the stages at the
+ * same distance from the end.
  */
 std::vector<double> EarliestStarts(const StagePlan& plan,
                                    absl::Span<const double> callSeconds)
@@ -40,8 +40,8 @@
   const std::vector<int> levels = LevelsToEnd(plan);
   const std::size_t count = plan.stages.size();
   std::vector<double> starts(count, 0.0);
-  const int most = levels.empty() ? 0 : *absl::c_max_element(levels);
-  for (int level = most - 1; level > 0; --level) {
+  const int maxLevel = levels.empty() ? 0 : *absl::c_max_element(levels);
+  for (int level = maxLevel - 1; level > 0; --level) {
     for (std::size_t i = 0; i < count; ++i) {
       for (std::size_t j = 0; levels[i] == level && j < count; ++j) {
         const bool isBefore =
@@ -54,16 +54,16 @@
   return starts;
 }
 
-/** \return by when each stage should start, in seconds; empty if one can't
- * start in time even if nothing waits
+/** \return the latest start of each stage, in seconds; empty if a stage can't
+ * start in time even without waits
  */
 std::vector<double> LatestStarts(const StagePlan& plan,
                                  absl::Span<const double> callSeconds,
-                                 double target)
+                                 double answerBy)
 {
   const std::size_t count = plan.stages.size();
   const std::vector<double> earliest = EarliestStarts(plan, callSeconds);
-  std::vector<double> finish(count, target - plan.readSeconds);
+  std::vector<double> finish(count, answerBy - plan.readSeconds);
   std::vector<double> starts(count, 0.0);
   for (std::size_t i = count; i-- > 0;) {
     const bool runs = plan.stages[i].ownSeconds > 0.0;
@@ -76,7 +76,7 @@
     }
   }
   for (std::size_t i = 0; i < count; ++i) {
-    starts[i] = earliest[i] + WaitShare * (starts[i] - earliest[i]);
+    starts[i] = earliest[i] + WaitFraction * (starts[i] - earliest[i]);
   }
   return starts;
 }
@@ -92,16 +92,16 @@
     ownCalls.push_back(stage.ownSeconds);
   }
   const std::vector<double> earliest = EarliestStarts(plan, ownCalls);
-  const double toAim =
-    absl::ToDoubleSeconds(UsedShare * limits.aim - limits.spent);
-  std::vector<double> starts = LatestStarts(plan, fullCalls, toAim);
+  const double toTarget =
+    absl::ToDoubleSeconds(UsedFraction * limits.aim - limits.spent);
+  std::vector<double> starts = LatestStarts(plan, fullCalls, toTarget);
   if (starts.empty()) {
-    starts = LatestStarts(plan, ownCalls, toAim);
+    starts = LatestStarts(plan, ownCalls, toTarget);
   }
   std::vector<double> lateStarts;
   if (starts.empty() || limits.cameBack) {
     lateStarts = LatestStarts(
-      plan, ownCalls, UsedShare * absl::ToDoubleSeconds(limits.deadline));
+      plan, ownCalls, UsedFraction * absl::ToDoubleSeconds(limits.deadline));
   }
   ChainWindows windows;
   windows.isPossible = !starts.empty() || !lateStarts.empty();
@@ -138,18 +138,19 @@
   return verdict;
 }
 
-PoolAnswer GuessAnswer(const StageWindow& window, absl::Duration toldWait)
+PoolAnswer GuessAnswer(const StageWindow& window, absl::Duration reportedWait)
 {
   PoolAnswer answer;
   answer.isOwnGuess = true;
-  answer.clear = toldWait;
-  answer.retry = toldWait;
-  const auto bears = [&](absl::Duration startBy) {
+  answer.clear = reportedWait;
+  answer.retry = reportedWait;
+  const auto canWait = [&](absl::Duration startBy) {
     return startBy >= absl::ZeroDuration() &&
-           toldWait <= std::max(window.earliest, GuessShare * startBy);
+           reportedWait <=
+             std::max(window.earliest, EstimateFraction * startBy);
   };
-  answer.isLate = !bears(window.startBy);
-  answer.granted = !answer.isLate || bears(window.lateStartBy);
+  answer.isLate = !canWait(window.startBy);
+  answer.granted = !answer.isLate || canWait(window.lateStartBy);
   return answer;
 }
 
--- a/Source/Decision/wgChainAdmission.h
+++ b/Source/Decision/wgChainAdmission.h
@@ -11,78 +11,78 @@
 
 namespace wg {
 
-/** \brief A time that can't be kept or is not asked for. */
+/** \brief The start time of a stage that has none. */
 constexpr absl::Duration NoStart = absl::Milliseconds(-1);
 
-/** \brief When a stage's call may start, from now. */
+/** \brief When a stage's call may start, from now on. */
 struct StageWindow
 {
-  bool runs = false; // it is not left out
+  bool runs = false; // false: the request skips the stage
   absl::Duration earliest;
-  absl::Duration startBy = NoStart;     // for the aim
-  absl::Duration lateStartBy = NoStart; // for the deadline
+  absl::Duration startBy = NoStart;     // to meet the latency target
+  absl::Duration lateStartBy = NoStart; // to meet the deadline
 };
 
-/** \brief What a request has to keep. */
+/** \brief The time limits of a request. */
 struct ChainLimits
 {
   absl::Duration spent;    // since the caller first sent it
-  absl::Duration aim;      // by when it ought to be answered, since then
-  absl::Duration deadline; // by when it must be, from now
-  bool cameBack = false;   // after a refusal
+  absl::Duration aim;      // the latency target, since then
+  absl::Duration deadline; // from now
+  bool cameBack = false;   // a retry after a refusal
 };
 
-/** \brief When each stage of a request has to start. */
+/** \brief The start times of all stages of a request. */
 struct ChainWindows
 {
-  /** Whether it could be answered at all if nothing waited. */
+  /** Whether the request can meet its limits if it waits nowhere. */
   bool isPossible = false;
   std::vector<StageWindow> stages;
 };
 
-/** \brief The latest start of each stage with which the answer still begins
- * in its aim, and, for a request that came back or that can't make its aim
- * even if nothing waits, by the deadline.
- * \param fullCalls what a full call of each stage takes, in seconds; while
- *   work waits, calls are full
+/** \brief Computes the latest start of each stage with which the answer begins
+ * within the latency target and, for retries and for requests that can't meet
+ * the target even without waits, by the deadline.
+ * \param fullCalls duration of a full call of each stage, in seconds; calls
+ *   are full while work waits
  */
 ChainWindows PlanChain(const StagePlan& plan,
                        absl::Span<const double> fullCalls,
                        const ChainLimits& limits);
 
-/** \brief What the coordinator of a stage's pool has answered, or what the
- * box knows itself where none did.
+/** \brief The answer of the coordinator of a stage's pool, or the box's own
+ * estimate where none answered.
  */
 struct PoolAnswer
 {
   bool granted = false;
-  bool isLate = false; // only behind what is in time
+  bool isLate = false; // granted behind all work that is in time
   bool isOwnGuess = false;
-  absl::Duration clear; // how long such work would wait
+  absl::Duration clear; // that such work would wait
   absl::Duration retry; // until there is capacity
 };
 
-/** \brief Whether a request is taken, and if not, when to come back. */
+/** \brief Whether a request is admitted, and if not, when to retry. */
 struct ChainVerdict
 {
   bool admitted = false;
-  bool isLate = false; // by the deadline only
+  bool isLate = false; // past its latency target, within its deadline
   int refusedBy = -1;  // the stage whose pool refused
   absl::Duration retry;
 };
 
 /** \brief Admits a request if the pools of all its stages have granted it
- * capacity. A chain of three stages that was admitted by its first alone was
- * refused after 1.7 s at the median when its second was full.
- * \param answers one for each stage; of those that are left out any
+ * capacity. Chains of three stages that were admitted by the first stage alone
+ * were refused after 1.7 s at the median when the second was full.
+ * \param answers one for each stage; ignored for skipped stages
  */
 ChainVerdict JudgeChain(const ChainWindows& windows,
                         absl::Span<const PoolAnswer> answers);
 
-/** \brief What a box answers in place of a coordinator that did not: by the
- * wait that it was told of the pool lately, with half of the time that the
- * work may wait, as others may have admitted to the same capacity since.
+/** \brief Estimates the answer of a coordinator that did not respond, from the
+ * last reported wait of its pool. The work may use half of its time to wait,
+ * as other boxes may have admitted to the same capacity since.
  */
-PoolAnswer GuessAnswer(const StageWindow& window, absl::Duration toldWait);
+PoolAnswer GuessAnswer(const StageWindow& window, absl::Duration reportedWait);
 
 } // namespace wg
--- a/Source/Decision/wgPoolForecast.cxx
+++ b/Source/Decision/wgPoolForecast.cxx
@@ -12,25 +12,22 @@
  * which last 5 to 6 s.
  */
 constexpr double DemandTimeConstantSeconds = 1.0;
-/** Of the pool's rate: less urgent ranks keep this much at any demand of more
- * urgent ones.
- */
+/** Less urgent ranks keep this part of the rate at any demand. */
 constexpr double MinRemainingFraction = 0.1;
 /** Covers several calls of each endpoint; a call takes 0.2 to 0.4 s. */
 constexpr double BusyTimeConstantSeconds = 2.0;
-/** Over a shorter busy time, the measured rate is too low: pieces started just
- * before the pool became busy are not counted.
+/** Over less, the measured rate is too low: pieces started just before the
+ * pool became busy do not count.
  */
 constexpr double MinBusySeconds = 0.8;
-/** Lower bound of the measured rate: with too low a rate, work is refused, the
- * pool is not busy, and the rate is not measured again.
+/** With too low a measured rate, work is refused, and the rate is not measured
+ * again.
  */
 constexpr double MinFractionOfExpected = 0.25;
 /** A scheduled retry counts until this long after its time. */
 constexpr absl::Duration RetryGracePeriod = absl::Milliseconds(500);
 /** Callers wait at most a third of their remaining time before a retry. */
 constexpr absl::Duration MaxRetryDelay = absl::Seconds(10);
-/** Assumed for a pool none of whose endpoints accepts calls. */
 constexpr double NoRateWaitSeconds = 0.3;
 
 double SecondsToStart(const PoolRate& rate, double pieces)
@@ -38,9 +35,7 @@
   return pieces / rate.piecesPerSecond;
 }
 
-/** Returns the time until the pool has started all of this work, in seconds
- * from now, if it serves the work in order of arrival.
- */
+/** Returns the seconds until all work has started in order of arrival. */
 double SecondsUntilAllStarted(const PoolRate& rate,
                               std::vector<const PendingWork*> work,
                               Elapsed now)
@@ -57,9 +52,7 @@
   return clock;
 }
 
-/** Returns the time until a call with the requested work starts, in seconds
- * from now. The work shares a call with the work ahead of it where it fits.
- */
+/** The work shares a call with the work ahead of it where it fits. */
 double SecondsUntilStart(const PoolRate& rate, double secondsAhead,
                          const PendingWork& requested, Elapsed now)
 {
@@ -70,9 +63,8 @@
                     absl::ToDoubleSeconds(requested.earliest - now) });
 }
 
-/** Returns whether the requested work makes other work late that would start
- * in time without it. Start times are estimated from the pieces ahead alone;
- * times of arrival are ignored.
+/** Whether the requested work makes other work late that would start in time
+ * without it. Only the pieces ahead count, not the times of arrival.
  */
 bool DelaysOthers(const PoolRate& rate, absl::Span<const PendingWork> pending,
                   const PendingWork& requested, Elapsed now)
--- a/Source/Decision/wgPoolForecast.h
+++ b/Source/Decision/wgPoolForecast.h
@@ -11,7 +11,7 @@
 
 namespace wg {
 
-/** \brief The rate at which all endpoints of a pool together start pieces. */
+/** \brief The rate at which a pool starts pieces, over all its endpoints. */
 struct PoolRate
 {
   double piecesPerSecond = 0.0;  // 0: no endpoint accepts calls
@@ -25,7 +25,7 @@
   Elapsed order; // work with the smallest value is served first
   int rank = 0;  // 0 is the most urgent
   double pieces = 0.0;
-  Elapsed earliest; // time of arrival; in the past if the work waits already
+  Elapsed earliest; // time of arrival; in the past if it waits
   Elapsed startBy;  // latest time at which its call may start
 };
 
@@ -34,52 +34,46 @@
 {
   absl::Duration wait; // until the call with the work would start
   bool isInTime = false;
-  /** Whether pending work of the same or a more urgent rank would start too
-   * late because of the requested work.
-   */
+  /** It would make work of the same or a more urgent rank start too late. */
   bool delaysOthers = false;
 };
 
 /** \brief Estimates when a call with the requested work would start, behind
  * the pending work that is served before it.
  *
- * The pending work includes work that other boxes have admitted and that has
- * not arrived yet. Without it, 59 boxes that admitted by the last reported
- * waits all used the same capacity: in a burst of 2.4 times the usual
- * requests, 2,300 pieces waited at a pool that served 540 a second.
+ * Pending work includes work that other boxes have admitted and that has yet
+ * to arrive. In a burst of 2.4 times the usual requests, 59 boxes that used
+ * reported waits instead all admitted to the same capacity: 2,300 pieces
+ * waited where 540 a second were served.
  */
 WorkForecast ForecastWork(const PoolRate& rate,
                           absl::Span<const PendingWork> pending,
                           const PendingWork& requested, Elapsed now);
 
-/** \brief Returns the time until all pending work has started, in seconds. */
+/** \brief Returns the time until all pending work has started. */
 double SecondsToClear(const PoolRate& rate,
                       absl::Span<const PendingWork> pending, Elapsed now);
 
-/** \brief Recently requested pieces by rank, as exponentially decaying sums.
- */
+/** \brief Recently requested pieces by rank, as decaying sums. */
 struct RankDemand
 {
   std::map<int, double> pieces;
   Elapsed noted;
 };
 
-/** \brief Records that work of a rank was requested. */
 void NoteDemand(RankDemand& demand, int rank, double pieces, Elapsed now);
 
-/** \brief Returns the recent demand of all more urgent ranks, in pieces per
- * second.
- */
+/** \brief Returns the demand of more urgent ranks, in pieces per second. */
 double UrgentDemand(const RankDemand& demand, int rank, Elapsed now);
 
-/** \brief Returns the pool's rate less the recent demand of more urgent ranks.
- * More urgent work that arrives while work of this rank waits is served first.
+/** \brief Returns the rate less the demand of more urgent ranks, whose work is
+ * served first.
  */
 PoolRate RateLeft(const PoolRate& rate, const RankDemand& demand, int rank,
                   Elapsed now);
 
-/** \brief The rate at which a busy pool started pieces, as exponentially
- * decaying sums. A pool is busy while more pieces wait than fit into a call.
+/** \brief Pieces started by a busy pool, in which more pieces wait than fit
+ * into a call, and the time in which it was busy, as decaying sums.
  */
 struct BusyRate
 {
@@ -89,20 +83,15 @@
   bool isBusy = false;
 };
 
-/** \brief Records whether the pool is busy from now on. */
 void NoteBusy(BusyRate& busy, bool isBusy, Elapsed now);
-/** \brief Records started pieces; those started while the pool is not busy do
- * not count.
- */
 void NoteStarted(BusyRate& busy, double pieces);
 
-/** \brief Returns the measured rate if the pool was busy for long enough
- * recently, else the expected one. Full result buffers, calls of other boxes
- * or slow endpoints may keep a pool below its expected rate.
+/** \brief Returns the measured rate after enough busy time, else the expected
+ * one. Full result buffers, other senders or slow endpoints may limit a pool.
  */
 PoolRate ObservedRate(const PoolRate& expected, const BusyRate& busy);
 
-/** \brief Retries that refused callers were told to make, with their times. */
+/** \brief Times at which refused callers were told to retry. */
 struct PromisedReturns
 {
   struct Retry
@@ -110,15 +99,12 @@
     Elapsed at;
     double pieces = 0.0;
   };
-  std::deque<Retry> retries; // in the order in which callers were refused
+  std::deque<Retry> retries; // in order of refusal
 };
 
-/** \brief Returns the delay after which a refused caller should retry, and
- * adds this retry to the scheduled ones.
- *
- * The delay lasts until the pending work and the work of all retries scheduled
- * before have started.
- * \param pieces of the refused request
+/** \brief Schedules the retry of a refused caller for when the pending work
+ * and that of the retries scheduled before have started.
+ * \return the delay until the retry
  */
 absl::Duration PromiseReturn(PromisedReturns& promised, const PoolRate& rate,
                              absl::Span<const PendingWork> pending,
--- a/Source/Decision/wgStagePlan.cxx
+++ b/Source/Decision/wgStagePlan.cxx
@@ -6,13 +6,13 @@
 namespace wg {
 namespace {
 
-/** What is expected to take longer than this share of its aim is refused:
- * requests that are admitted up to the aim itself are mostly late. 0.75 gave
- * .005 more worth than 0.6 (error .003; 15 paired days).
+/** Requests expected to take longer than this fraction of their latency target
+ * are refused: those admitted up to the target itself are mostly late. 0.75
+ * gave .005 more worth than 0.6 (error .003; 15 paired days).
  */
-constexpr double AdmittedShare = 0.75;
-/** A wait of nothing at all would mean that there is no limit. */
-constexpr absl::Duration LeastWait = absl::Milliseconds(1);
+constexpr double AdmittedFraction = 0.75;
+/** A wait of zero would mean no limit. */
+constexpr absl::Duration MinWait = absl::Milliseconds(1);
 
 } // namespace
 
@@ -45,16 +45,16 @@
   return after[stage] + plan.readSeconds;
 }
 
-bool IsRefused(double expectedSeconds, absl::Duration aim)
+bool IsRefused(double expectedSeconds, absl::Duration target)
 {
-  return absl::Seconds(expectedSeconds) > AdmittedShare * aim;
+  return absl::Seconds(expectedSeconds) > AdmittedFraction * target;
 }
 
-absl::Duration LongestFirstWait(absl::Duration aim, absl::Duration spent,
+absl::Duration LongestFirstWait(absl::Duration target, absl::Duration spent,
                                 double expectedSeconds)
 {
-  return std::max(LeastWait, AdmittedShare * aim - spent -
-                               absl::Seconds(expectedSeconds));
+  return std::max(MinWait, AdmittedFraction * target - spent -
+                             absl::Seconds(expectedSeconds));
 }
 
 } // namespace wg
--- a/Source/Decision/wgStagePlan.h
+++ b/Source/Decision/wgStagePlan.h
@@ -9,43 +9,44 @@
 
 namespace wg {
 
-/** \brief One stage of a request, as far as its time is concerned. */
+/** \brief The time of one stage of a request. */
 struct PlannedStage
 {
   std::vector<std::size_t> after; // stages whose results it needs
-  double ownSeconds = 0.0; // a call of its pieces alone; 0: it is left out
+  double ownSeconds = 0.0;        // a call of its pieces alone; 0: skipped
 };
 
-/** \brief The stages of a request in the order of their numbers, and what
- * follows them.
+/** \brief The stages of a request in the order of their numbers, and the
+ * engine call that follows them.
  */
 struct StagePlan
 {
   std::vector<PlannedStage> stages;
-  double readSeconds = 0.0; // that an engine needs for the request's own part
+  double readSeconds = 0.0; // prefill of the request's own prompt segment
 };
 
-/** \brief When the answer would begin, in seconds from now, if nothing had
- * begun yet.
- * \param waits in seconds, of each stage in order; those of stages that are
- * left out do not count
+/** \brief Returns when the answer of a request that has not started would
+ * begin, in seconds from now.
+ * \param waits of each stage in order, in seconds; ignored for skipped stages
  */
 double ExpectedSeconds(const StagePlan& plan, absl::Span<const double> waits);
 
-/** \brief What comes after a stage takes at least, if nothing waits. */
+/** \brief Returns the time from the end of a stage to the answer, without
+ * waits.
+ */
 double SecondsAfter(const StagePlan& plan, std::size_t stage);
 
-/** \brief Whether a request that is expected to take so long is refused: it is
- * known that it can't be answered in its aim, give or take what is not known.
+/** \brief Whether a request is refused because it is not expected to meet its
+ * latency target, with a margin for the error of the estimate.
  */
-bool IsRefused(double expectedSeconds, absl::Duration aim);
+bool IsRefused(double expectedSeconds, absl::Duration target);
 
-/** \brief How long a first stage may wait for its request to be admitted; at
- * least a millisecond.
+/** \brief Returns the longest wait of a first stage with which its request is
+ * admitted; at least a millisecond.
  * \param spent since the request arrived
  * \param expectedSeconds without that wait
  */
-absl::Duration LongestFirstWait(absl::Duration aim, absl::Duration spent,
+absl::Duration LongestFirstWait(absl::Duration target, absl::Duration spent,
                                 double expectedSeconds);
 
 } // namespace wg
--- a/Tests/Decision/wgChainAdmissionTest.cxx
+++ b/Tests/Decision/wgChainAdmissionTest.cxx
@@ -7,7 +7,7 @@
 
 namespace {
 
-/** Three stages in sequence beside one that nothing follows. */
+/** Three stages in sequence, and one beside them that no stage follows. */
 wg::StagePlan Plan()
 {
   wg::StagePlan plan;
@@ -35,24 +35,25 @@
 
 } // namespace
 
-// Failure: pools are filled to the last moment, and whatever takes longer than
-// was forecast makes all that was admitted late.
-TEST_CASE("Each stage must leave time for the full calls that follow it")
+// Failure: pools are filled to the last moment, and a call that takes longer
+// than forecast makes all admitted work late.
+TEST_CASE("Each stage leaves time for the full calls that follow it")
 {
   const auto windows = wg::PlanChain(Plan(), FullCalls, Limits(1.8));
   REQUIRE(windows.isPossible);
-  // Of 0.48 s that the chain can wait in all it uses half.
+  // The chain can wait 0.48 s in all; it uses half.
   CHECK(Seconds(windows.stages[1].startBy) == Approx(0.24));
   CHECK(Seconds(windows.stages[2].startBy) == Approx(0.24 + 0.37));
   CHECK(Seconds(windows.stages[3].startBy) == Approx(0.24 + 0.74));
   CHECK(Seconds(windows.stages[1].earliest) == 0.0);
   CHECK(Seconds(windows.stages[3].earliest) == Approx(0.42));
-  // The one on the short branch begins with the last of the long one.
+  // The short branch starts with the last stage of the long one.
   CHECK(windows.stages[0].startBy == windows.stages[3].startBy);
   CHECK(windows.stages[1].lateStartBy == wg::NoStart);
 }
 
-TEST_CASE("Where full calls leave no time, calls of its own are reckoned with")
+TEST_CASE(
+  "Where full calls leave no time, the request's own calls are counted")
 {
   const auto windows = wg::PlanChain(Plan(), FullCalls, Limits(1.2));
   REQUIRE(windows.isPossible);
@@ -60,7 +61,8 @@
         Approx((1.08 - 0.03 - 0.64) / 2));
 }
 
-TEST_CASE("A request that can't make its aim is planned for its deadline")
+TEST_CASE(
+  "A request that can't meet its latency target is planned for its deadline")
 {
   const auto windows = wg::PlanChain(Plan(), FullCalls, Limits(0.5));
   REQUIRE(windows.isPossible);
@@ -70,7 +72,7 @@
   CHECK_FALSE(wg::PlanChain(Plan(), FullCalls, Limits(0.5, 0.6)).isPossible);
 }
 
-TEST_CASE("A request that came back has both times")
+TEST_CASE("A retry is planned for its latency target and its deadline")
 {
   wg::ChainLimits limits = Limits(3.0, 4.5);
   limits.spent = absl::Seconds(1.5);
@@ -81,7 +83,7 @@
         Approx((4.05 - 0.03 - 0.64) / 2));
 }
 
-TEST_CASE("A stage that is left out is asked of nobody")
+TEST_CASE("A skipped stage needs no grant")
 {
   wg::StagePlan plan = Plan();
   plan.stages[0].ownSeconds = 0.0;
@@ -95,8 +97,10 @@
 }
 
 // Failure: a request whose later stage has no capacity is admitted by its
-// first stage, and is refused once that has been made.
-TEST_CASE("One pool without capacity refuses the chain, with its time")
+// first stage, and is refused only after that has run.
+TEST_CASE(
+  "One pool without capacity refuses the chain until the longest retry "
+  "delay")
 {
   const auto windows = wg::PlanChain(Plan(), FullCalls, Limits(1.8));
   std::vector<wg::PoolAnswer> answers(4);
@@ -114,7 +118,7 @@
   CHECK(verdict.retry == absl::Seconds(3));
 }
 
-TEST_CASE("A chain is late if one of its stages is")
+TEST_CASE("A chain is late if one of its stages is late")
 {
   const auto windows = wg::PlanChain(Plan(), FullCalls, Limits(1.8));
   std::vector<wg::PoolAnswer> answers(4);
@@ -126,8 +130,8 @@
   CHECK(wg::JudgeChain(windows, answers).isLate);
 }
 
-// Failure: coordinators are silent in a burst, and boxes that are told nothing
-// admit all or refuse all.
+// Failure: coordinators don't answer in a burst, and boxes admit all requests
+// or refuse all.
 TEST_CASE("Without an answer a box uses half of the time that work may wait")
 {
   wg::StageWindow window;
--- a/Tests/Decision/wgPoolForecastTest.cxx
+++ b/Tests/Decision/wgPoolForecastTest.cxx
@@ -10,7 +10,8 @@
 namespace {
 
 const wg::Elapsed Now = absl::Seconds(100);
-constexpr double PiecesPerSecond = 540.0; // four endpoints, 50 pieces in .37 s
+constexpr double PiecesPerSecond =
+  540.0; // four endpoints, each 50 pieces in .37 s
 constexpr double PiecesOfWork = 6.0;
 
 wg::PoolRate Rate(double free = 0.0)
@@ -29,8 +30,8 @@
   return work;
 }
 
-/** A burst at a pool: works that are admitted arrive 0.3 s later and are
- * served in their order of arrival.
+/** A burst at a pool: admitted work arrives 0.3 s later and is served in order
+ * of arrival.
  */
 struct Burst
 {
@@ -40,29 +41,30 @@
 };
 
 constexpr double BurstSeconds = 6.0;
-constexpr double AskedPerSecond = 230.0; // 2.5 times what the pool bears
-constexpr absl::Duration Travel = absl::Milliseconds(300);
-constexpr absl::Duration MayWait = absl::Milliseconds(1900);
+constexpr double RequestsPerSecond =
+  230.0; // 2.5 times the capacity of the pool
+constexpr absl::Duration ArrivalDelay = absl::Milliseconds(300);
+constexpr absl::Duration MaxWait = absl::Milliseconds(1900);
 
-/** \param admit gets the works that have not started and when it is asked */
+/** \param admit gets the pending work, the requested work and the time */
 template <class Admit>
-Burst PlayBurst(Admit admit)
+Burst SimulateBurst(Admit admit)
 {
   Burst burst;
   std::vector<wg::PendingWork> admitted;
-  double clock = 0.0; // when the pool has started all that was admitted
-  const int asked = static_cast<int>(BurstSeconds * AskedPerSecond);
+  double clock = 0.0; // when the pool has started all admitted work
+  const int requested = static_cast<int>(BurstSeconds * RequestsPerSecond);
   std::deque<std::pair<double, wg::PendingWork>> open; // by start
-  for (int i = 0; i < asked; ++i) {
-    const double second = i / AskedPerSecond;
+  for (int i = 0; i < requested; ++i) {
+    const double second = i / RequestsPerSecond;
     const wg::Elapsed now = Now + absl::Seconds(second);
     while (!open.empty() && open.front().first <= second) {
       open.pop_front();
     }
     wg::PendingWork work;
     work.pieces = PiecesOfWork;
-    work.earliest = now + Travel;
-    work.startBy = now + MayWait;
+    work.earliest = now + ArrivalDelay;
+    work.startBy = now + MaxWait;
     work.order = work.startBy;
     std::vector<wg::PendingWork> pending;
     for (const auto& [start, each] : open) {
@@ -75,7 +77,7 @@
     const double arrives = absl::ToDoubleSeconds(work.earliest - Now);
     const double start = std::max(clock, arrives);
     clock = start + PiecesOfWork / PiecesPerSecond;
-    // The work that is being started is not among those that have not.
+    // Work that is just starting is not pending, but still occupies the pool.
     const double allowed = 1.01 * PiecesOfWork / PiecesPerSecond;
     burst.late +=
       start > absl::ToDoubleSeconds(work.startBy - Now) + allowed ? 1 : 0;
@@ -87,40 +89,40 @@
 
 } // namespace
 
-// Failure: boxes that judge by the waits they were told a second ago all admit
-// to the same capacity, and most of what they admit ends late.
-TEST_CASE("A burst is admitted as far as the pool serves it in time")
+// Failure: boxes that admit by waits reported a second ago all use the same
+// capacity, and most of the admitted work is late.
+TEST_CASE("A burst is admitted up to the capacity that serves it in time")
 {
   wg::PoolRate rate = Rate();
-  rate.piecesPerCall = PiecesOfWork; // the burst is served work by work
+  rate.piecesPerCall = PiecesOfWork; // no two requests share a call
   const auto byForecast = [&rate](const auto& pending, const auto& work,
                                   wg::Elapsed now) {
     return wg::ForecastWork(rate, pending, work, now).isInTime;
   };
-  const Burst reserved = PlayBurst(byForecast);
-  const double most = PiecesPerSecond / PiecesOfWork *
-                      (BurstSeconds + absl::ToDoubleSeconds(MayWait));
+  const Burst reserved = SimulateBurst(byForecast);
+  const double maxAdmitted = PiecesPerSecond / PiecesOfWork *
+                             (BurstSeconds + absl::ToDoubleSeconds(MaxWait));
   CHECK(reserved.late == 0);
-  CHECK(reserved.admitted > 0.9 * most);
-
-  wg::Elapsed told = Now - absl::Seconds(1);
-  double toldWait = 0.0;
-  const Burst byTold =
-    PlayBurst([&](const auto& pending, const auto& work, wg::Elapsed now) {
-      if (now - told >= absl::Seconds(1)) {
-        told = now;
-        double arrived = 0.0; // works on their way are known to nobody
+  CHECK(reserved.admitted > 0.9 * maxAdmitted);
+
+  wg::Elapsed reported = Now - absl::Seconds(1);
+  double reportedWait = 0.0;
+  const Burst byReported =
+    SimulateBurst([&](const auto& pending, const auto& work, wg::Elapsed now) {
+      if (now - reported >= absl::Seconds(1)) {
+        reported = now;
+        double arrived = 0.0; // work on its way is not reported
         for (const auto& each : pending) {
           arrived += each.earliest <= now ? each.pieces : 0.0;
         }
-        toldWait = arrived / PiecesPerSecond;
+        reportedWait = arrived / PiecesPerSecond;
       }
-      return now + absl::Seconds(toldWait) <= work.startBy;
+      return now + absl::Seconds(reportedWait) <= work.startBy;
     });
-  CHECK(byTold.late > byTold.admitted / 4);
+  CHECK(byReported.late > byReported.admitted / 4);
 }
 
-TEST_CASE("Work waits for what goes before it, not for what goes behind it")
+TEST_CASE("Work waits only for work that is served before it")
 {
   const std::vector<wg::PendingWork> pending{ Work(540, absl::Seconds(1)),
                                               Work(540, absl::Seconds(3)) };
@@ -133,20 +135,23 @@
       .isInTime == false);
 }
 
-TEST_CASE("A pool that will be idle until work arrives is not reckoned twice")
+TEST_CASE(
+  "Work waits for pending work that is still to arrive, unless it must start "
+  "before")
 {
   std::vector<wg::PendingWork> pending{ Work(540, absl::Seconds(1)) };
   pending.front().earliest = Now + absl::Milliseconds(600);
-  wg::PendingWork asked = Work(50, absl::Seconds(2));
+  wg::PendingWork requested = Work(50, absl::Seconds(2));
   CHECK(absl::ToDoubleSeconds(
-          wg::ForecastWork(Rate(), pending, asked, Now).wait) == Approx(1.6));
-  // What comes after the asked work has to start is not ahead of it.
-  asked.startBy = Now + absl::Milliseconds(500);
-  CHECK(wg::ForecastWork(Rate(), pending, asked, Now).wait ==
+          wg::ForecastWork(Rate(), pending, requested, Now).wait) ==
+        Approx(1.6));
+  // Work that arrives after the latest start is not ahead.
+  requested.startBy = Now + absl::Milliseconds(500);
+  CHECK(wg::ForecastWork(Rate(), pending, requested, Now).wait ==
         absl::ZeroDuration());
 }
 
-TEST_CASE("Work that fits a call does not wait for another one")
+TEST_CASE("Work that fits into a call shares it with the work ahead")
 {
   const std::vector<wg::PendingWork> pending{ Work(40, absl::Seconds(1)) };
   const auto forecast =
@@ -154,21 +159,23 @@
   CHECK(absl::ToDoubleSeconds(forecast.wait) == Approx(0.1));
 }
 
-// Failure: work with an earlier deadline is admitted, and what was granted
-// before misses its own.
-TEST_CASE("What was granted to the same or a better rank is kept")
+// Failure: work with an earlier deadline is admitted and makes work late that
+// was granted before.
+TEST_CASE(
+  "Work that makes granted work of the same or a more urgent rank late "
+  "is detected")
 {
   const std::vector<wg::PendingWork> pending{
     Work(540, absl::Milliseconds(500)), Work(54, absl::Milliseconds(1050), 1)
   };
-  wg::PendingWork asked = Work(108, absl::Milliseconds(1040), 1);
-  asked.order = Now + absl::Milliseconds(1000);
-  CHECK(wg::ForecastWork(Rate(), pending, asked, Now).delaysOthers);
-  asked.rank = 0;
-  CHECK_FALSE(wg::ForecastWork(Rate(), pending, asked, Now).delaysOthers);
+  wg::PendingWork requested = Work(108, absl::Milliseconds(1040), 1);
+  requested.order = Now + absl::Milliseconds(1000);
+  CHECK(wg::ForecastWork(Rate(), pending, requested, Now).delaysOthers);
+  requested.rank = 0;
+  CHECK_FALSE(wg::ForecastWork(Rate(), pending, requested, Now).delaysOthers);
 }
 
-TEST_CASE("A pool without endpoints that take calls grants what can wait")
+TEST_CASE("A pool whose endpoints accept no calls grants work that can wait")
 {
   const wg::PoolRate closed{ 0.0, 50.0, 1.0 };
   CHECK(wg::ForecastWork(closed, {}, Work(1, absl::Seconds(2)), Now).isInTime);
@@ -176,9 +183,9 @@
     wg::ForecastWork(closed, {}, Work(1, absl::Seconds(1)), Now).isInTime);
 }
 
-// Failure: a less urgent kind fills the pool and a more urgent one that comes
-// a moment later is refused or late.
-TEST_CASE("What more urgent kinds ask for lately is kept for them")
+// Failure: a less urgent rank fills the pool, and more urgent work that
+// arrives a moment later is refused or late.
+TEST_CASE("The recent demand of more urgent ranks is reserved for them")
 {
   wg::RankDemand demand;
   for (int i = 0; i < 300; ++i) {
@@ -197,9 +204,9 @@
         Approx(0.1 * PiecesPerSecond));
 }
 
-// Failure: endpoints without room for results make small calls, and the pool
-// is filled as if they made full ones.
-TEST_CASE("A pool that was busy is taken at the rate that it had")
+// Failure: full result buffers keep calls small, and work is admitted as if
+// calls were full.
+TEST_CASE("A pool that was busy has its measured rate")
 {
   wg::BusyRate busy;
   wg::NoteBusy(busy, true, Now);
@@ -214,7 +221,8 @@
   CHECK(wg::ObservedRate(Rate(), busy).piecesPerSecond == PiecesPerSecond);
 }
 
-TEST_CASE("A pool that started nothing is not taken to be stopped for good")
+TEST_CASE(
+  "A busy pool that started nothing keeps a quarter of its expected rate")
 {
   wg::BusyRate busy;
   wg::NoteBusy(busy, true, Now);
@@ -223,20 +231,20 @@
         Approx(0.25 * PiecesPerSecond));
 }
 
-// Failure: all callers of a burst are told the same second and come back as
-// another burst.
-TEST_CASE("Callers that are told to come back are spread")
+// Failure: all callers of a burst get the same delay and retry as another
+// burst.
+TEST_CASE("Retries of refused callers are spread")
 {
   wg::PromisedReturns promised;
   const std::vector<wg::PendingWork> pending{ Work(540, absl::Seconds(1)) };
-  std::vector<double> told;
+  std::vector<double> delays;
   for (int i = 0; i < 90; ++i) {
-    told.push_back(absl::ToDoubleSeconds(
+    delays.push_back(absl::ToDoubleSeconds(
       wg::PromiseReturn(promised, Rate(), pending, PiecesOfWork, Now)));
   }
-  CHECK(told.front() == Approx(1.0));
-  CHECK(told.back() == Approx(2.0).margin(0.02));
-  CHECK(std::is_sorted(told.begin(), told.end()));
+  CHECK(delays.front() == Approx(1.0));
+  CHECK(delays.back() == Approx(2.0).margin(0.02));
+  CHECK(std::is_sorted(delays.begin(), reported.end()));
   const wg::Elapsed later = Now + absl::Seconds(3);
   CHECK(absl::ToDoubleSeconds(
           wg::PromiseReturn(promised, Rate(), {}, PiecesOfWork, later)) ==
