--- a/Source/Decision/wgResultRoom.cxx
+++ b/Source/Decision/wgResultRoom.cxx
@@ -6,12 +6,12 @@
 namespace wg {
 namespace {
 
-/** Sizes come from other boxes. More than this is no size of results, and
- * sums of a few of them still fit.
+/** Sizes come from other boxes. No valid size is larger, and sums of a few
+ * such sizes don't overflow.
  */
 constexpr std::int64_t MaxBytes = std::int64_t{ 1 } << 50;
 
-std::int64_t Sane(std::int64_t bytes)
+std::int64_t ClampSize(std::int64_t bytes)
 {
   return std::clamp<std::int64_t>(bytes, 0, MaxBytes);
 }
@@ -21,7 +21,7 @@
 bool IsRoomScarce(std::int64_t used, std::int64_t total)
 {
   return total > 0 && static_cast<double>(used) >=
-                        ScarceRoomShare * static_cast<double>(total);
+                        ScarceBufferFraction * static_cast<double>(total);
 }
 
 InputVerdict JudgeInputs(int waiting, absl::Span<const InputUse> calls,
@@ -30,7 +30,7 @@
   if (waiting > 0) {
     return InputVerdict::TooEarly;
   }
-  if (now < lastLoss + InputLossMemory) {
+  if (now < lastLoss + InputLossHoldTime) {
     return InputVerdict::RecentLoss;
   }
   for (const InputUse& call : calls) {
@@ -50,20 +50,20 @@
 
 RoomEvidence EvidenceOf(const RoomAnswer& answer, Elapsed now)
 {
-  const std::int64_t recorded =
-    std::max(Sane(answer.recordedAtSend), Sane(answer.recordedAtEnd));
+  const std::int64_t recorded = std::max(ClampSize(answer.recordedAtSend),
+                                         ClampSize(answer.recordedAtEnd));
   RoomEvidence evidence;
   evidence.isKnown = true;
-  evidence.held = Sane(recorded - Sane(answer.notMade));
-  evidence.refused = Sane(answer.refused);
-  evidence.smallestRefused = Sane(answer.smallestRefused);
+  evidence.held = ClampSize(recorded - ClampSize(answer.notMade));
+  evidence.refused = ClampSize(answer.refused);
+  evidence.smallestRefused = ClampSize(answer.smallestRefused);
   evidence.noted = now;
   return evidence;
 }
 
 bool IsRoomShort(const RoomEvidence& evidence, Elapsed now)
 {
-  return evidence.isKnown && now < evidence.noted + RoomBoundMemory;
+  return evidence.isKnown && now < evidence.noted + ResultLifetime;
 }
 
 std::int64_t RoomBound(const RoomEvidence& evidence, Elapsed now)
@@ -72,8 +72,8 @@
     return UnboundedRoom;
   }
   const auto periods = static_cast<std::int64_t>(
-    absl::FDivDuration(now - evidence.noted, RoomRetryPeriod));
-  if (periods <= 0) { // one more such result did not fit
+    absl::FDivDuration(now - evidence.noted, BufferRetryPeriod));
+  if (periods <= 0) { // one more result of this size did not fit
     return evidence.held + evidence.smallestRefused - 1;
   }
   return evidence.held + periods * evidence.refused;
--- a/Source/Decision/wgResultRoom.h
+++ b/Source/Decision/wgResultRoom.h
@@ -11,89 +11,89 @@
 
 namespace wg {
 
-/** \brief The share of its expected time after which a call has fetched its
+/** \brief The fraction of its expected time after which a call has fetched its
  * inputs. Fetching 25 MB over 10 Gbit/s takes some 20 ms, at the start of a
  * call of at least 200 ms.
  */
 constexpr double FetchedAfterShare = 0.5;
 
-/** \brief For so long a pool releases no inputs early after an endpoint
- * lacked some that had been released. Two coordinators that serve a pool at
- * the same time queue calls behind each other; boxes agree on one within
- * seconds.
+/** \brief After an endpoint missed inputs that had been released, its pool
+ * releases none early for this long. Two coordinators that serve a pool at the
+ * same time queue calls behind each other; boxes agree on one within seconds.
  */
-constexpr absl::Duration InputLossMemory = absl::Seconds(10);
+constexpr absl::Duration InputLossHoldTime = absl::Seconds(10);
 
-/** \brief For so long an answer without room bounds what its endpoint is sent.
- * Then one call as large as the refused one may be tried; each further period
- * allows as much again.
+/** \brief For this long, an answer with refused results bounds the bytes that
+ * its endpoint may hold. After it, and after each further period, the bound
+ * grows by the refused bytes.
  */
-constexpr absl::Duration RoomRetryPeriod = absl::Milliseconds(400);
+constexpr absl::Duration BufferRetryPeriod = absl::Milliseconds(400);
 
-/** \brief After so long no result is left that an endpoint held when it
- * answered: the usual lifetime of results.
+/** \brief The usual lifetime of results: after it, an endpoint holds none of
+ * the results that it held when it answered.
  */
-constexpr absl::Duration RoomBoundMemory = absl::Seconds(4);
+constexpr absl::Duration ResultLifetime = absl::Seconds(4);
 
-/** \brief Of the room of a pool's endpoints that results take before early
- * release is worth its price: where a piece fails whose inputs were released,
- * all stages of its request are executed again. Below it, calls are full: two
- * of three calls' results fit beside a third.
+/** \brief The fill ratio of a pool's result buffers from which early release
+ * is worth its price: if a piece fails after its inputs were released, all
+ * stages of its request are executed again. Below this ratio, calls are full:
+ * the results of two of three calls fit beside a third.
  */
-constexpr double ScarceRoomShare = 0.5;
+constexpr double ScarceBufferFraction = 0.5;
 
 /** \param used, total bytes at all endpoints of the pool; a total of zero
  * means no limit
  */
 bool IsRoomScarce(std::int64_t used, std::int64_t total);
 
-/** \brief A call that carries pieces of a work. */
+/** \brief A call with pieces of a work. */
 struct InputUse
 {
   Elapsed started;
   absl::Duration expected;
-  bool lacksRoom = false; // its endpoint has lately refused results
+  bool lacksRoom = false; // its endpoint recently refused results
 };
 
 /** \brief Whether the inputs of a work may be released, or why not. */
 enum class InputVerdict
 {
   Release,
-  TooEarly,    // pieces wait, or a call may not have fetched its inputs
-  CallOverdue, // a call takes longer than expected and may be repeated
-  RoomShort,   // an endpoint may refuse results, which are then made again
-  RecentLoss   // an endpoint lacked inputs that were released early
+  TooEarly,    // pieces wait, or a call may still fetch its inputs
+  CallOverdue, // a call exceeds its expected time and may be repeated
+  RoomShort,   // an endpoint may refuse results, which are then recomputed
+  RecentLoss   // an endpoint missed inputs that were released early
 };
 
-/** \brief Decides on the inputs of a work of which so many pieces wait, and
- * whose other pieces are made or in these calls. Releasing them early frees
- * room at endpoints of the stage before, for the load at which that room
- * bounds the size of calls.
+/** \brief Decides whether the inputs of a work may be released early. This
+ * frees result buffers of the stage before, for loads at which these bound the
+ * size of calls.
+ * \param waiting number of pieces of the work that wait
+ * \param calls that execute its other pieces
  */
 InputVerdict JudgeInputs(int waiting, absl::Span<const InputUse> calls,
                          Elapsed lastLoss, Elapsed now);
 
-/** \brief A time that is long over for all rules here. */
+/** \brief The time of the last loss where there was none. */
 constexpr Elapsed NeverLost = -absl::InfiniteDuration();
 
-/** \brief What an answer that refused results for lack of room tells, in
- * bytes. Recorded is what the coordinator counts as taken at the endpoint,
- * with all pieces of the call.
+/** \brief An answer that refused results because the endpoint's buffer was
+ * full, in bytes. Recorded bytes are those that the coordinator counts as
+ * buffered at the endpoint, with all pieces of the call.
  */
 struct RoomAnswer
 {
   std::int64_t recordedAtSend = 0;
   std::int64_t recordedAtEnd = 0;
   std::int64_t notMade = 0;         // pieces of the call without a result
-  std::int64_t refused = 0;         // of these, for lack of room
+  std::int64_t refused = 0;         // of these, because the buffer was full
   std::int64_t smallestRefused = 0; // one piece
 };
 
-/** \brief What the last refusal for lack of room proves of an endpoint. */
+/** \brief What the last refused results show of an endpoint's buffer. */
 struct RoomEvidence
 {
   bool isKnown = false;
-  std::int64_t held = 0; // recorded bytes that fitted
+  std::int64_t held = 0; // recorded bytes that fit
   std::int64_t refused = 0;
   std::int64_t smallestRefused = 0;
   Elapsed noted;
@@ -102,18 +102,17 @@
 constexpr std::int64_t UnboundedRoom =
   std::numeric_limits<std::int64_t>::max();
 
-/** \brief What an answer proves. Results may have been released while its
- * call ran: the larger of the records at both ends counts.
+/** \brief Derives the evidence from an answer. Results may have been released
+ * during its call, so the larger of both recorded sizes counts.
  */
 RoomEvidence EvidenceOf(const RoomAnswer& answer, Elapsed now);
 
-/** \brief Up to how many recorded bytes an endpoint may be sent work. It is
- * for endpoints that hold more than is recorded, as after a change of the
- * coordinator: filling them on wastes a call for each refused piece.
+/** \brief Returns the recorded bytes up to which an endpoint may get work. The
+ * bound matters for endpoints that hold more than is recorded, as after a
+ * change of the coordinator: each refused piece wastes a call.
  */
 std::int64_t RoomBound(const RoomEvidence& evidence, Elapsed now);
 
-/** \brief Whether the evidence still counts. */
 bool IsRoomShort(const RoomEvidence& evidence, Elapsed now);
 
 } // namespace wg
--- a/Source/Decision/wgStagePlan.h
+++ b/Source/Decision/wgStagePlan.h
@@ -17,7 +17,7 @@
 };
 
 /** \brief The stages of a request in the order of their numbers, and the
- * engine call that follows them.
+ * prefill that follows them.
  */
 struct StagePlan
 {
--- a/Tests/Decision/wgResultRoomTest.cxx
+++ b/Tests/Decision/wgResultRoomTest.cxx
@@ -22,19 +22,19 @@
   return JudgeInputs(waiting, calls, wg::NeverLost, Start + after);
 }
 
-/** An endpoint with room for so many results of one byte, of which others
- * than the coordinator's are held at first. They end one after another.
+/** An endpoint whose buffer holds results of one byte each. Some are unknown
+ * to the coordinator at first; they expire one after another.
  */
 struct Endpoint
 {
-  int room = 0;
-  int foreign = 0;
+  int capacity = 0;
+  int unknown = 0;
   int own = 0;
 
-  /** How many of the pieces it makes. */
-  int Make(int pieces)
+  /** \return number of pieces whose results fit the buffer */
+  int Execute(int pieces)
   {
-    const int made = std::clamp(room - foreign - own, 0, pieces);
+    const int made = std::clamp(capacity - unknown - own, 0, pieces);
     own += made;
     return made;
   }
@@ -46,47 +46,47 @@
   int refused = 0;
 };
 
-/** How much a coordinator sends an endpoint that has refused pieces. */
+/** How a coordinator bounds the work of an endpoint that refused pieces. */
 enum class Rule
 {
-  Bound,  // as here
-  Counted // as before: each refused piece counted as held for 400 ms
+  Bound,  // by RoomBound
+  Counted // baseline: a refused piece counts as buffered for 400 ms
 };
 
 std::int64_t LimitOf(Rule rule, const Endpoint& endpoint,
                      const wg::RoomEvidence& evidence, wg::Elapsed now)
 {
   if (rule == Rule::Bound) {
-    return std::min<std::int64_t>(endpoint.room, RoomBound(evidence, now));
+    return std::min<std::int64_t>(endpoint.capacity, RoomBound(evidence, now));
   }
   const bool counts =
     evidence.isKnown && now < evidence.noted + absl::Milliseconds(400);
-  return endpoint.room - (counts ? evidence.refused : 0);
+  return endpoint.capacity - (counts ? evidence.refused : 0);
 }
 
-/** A coordinator that keeps an endpoint filled with calls of 250 ms and
- * releases each result 1.1 s after its call, for 3 s. Ten of the results that
- * it does not know of end during each call.
+/** Keeps an endpoint filled for 3 s with calls of 250 ms, whose results are
+ * released 1.1 s later. Ten of the unknown results expire during each call.
  */
 Totals Fill(Endpoint endpoint, Rule rule)
 {
   constexpr absl::Duration call = absl::Milliseconds(250);
   constexpr int batch = 60;
-  constexpr int resultsLast = 4; // calls
+  constexpr int callsUntilRelease = 4;
   Totals totals;
   std::vector<int> made;
   wg::RoomEvidence evidence;
   for (wg::Elapsed now = Start; now < Start + absl::Seconds(3); now += call) {
     const auto calls = static_cast<int>(made.size());
-    if (calls >= resultsLast) {
-      endpoint.own -= made[static_cast<std::size_t>(calls - resultsLast)];
+    if (calls >= callsUntilRelease) {
+      endpoint.own -=
+        made[static_cast<std::size_t>(calls - callsUntilRelease)];
     }
-    endpoint.foreign = std::max(0, endpoint.foreign - 10);
+    endpoint.unknown = std::max(0, endpoint.unknown - 10);
     const std::int64_t limit = LimitOf(rule, endpoint, evidence, now);
     const auto pieces = static_cast<int>(
       std::clamp<std::int64_t>(limit - endpoint.own, 0, batch));
     const std::int64_t recorded = endpoint.own + pieces;
-    made.push_back(endpoint.Make(pieces));
+    made.push_back(endpoint.Execute(pieces));
     const int refused = pieces - made.back();
     totals.made += made.back();
     totals.refused += refused;
@@ -102,7 +102,7 @@
 
 TEST_CASE("Inputs are kept until all calls of a work are half done")
 {
-  // Inputs released while a call may still fetch them cost the whole chain.
+  // If a call misses its inputs, all stages of the request run again.
   const std::vector<InputUse> calls{
     { Start, Expected }, { Start + absl::Milliseconds(150), Expected }
   };
@@ -115,7 +115,7 @@
 
 TEST_CASE("Inputs of a call that takes longer than expected are kept")
 {
-  // It is likely to fail, and its pieces are then made elsewhere.
+  // The call is likely to fail; its pieces are then executed elsewhere.
   const std::vector<InputUse> calls{
     { Start, Expected }, { Start - absl::Milliseconds(150), Expected }
   };
@@ -123,70 +123,70 @@
   CHECK(Judge(0, calls, absl::Milliseconds(251)) == InputVerdict::CallOverdue);
 }
 
-TEST_CASE("Inputs are kept where results may be refused for lack of room")
+TEST_CASE("Inputs are kept where a full buffer may refuse results")
 {
-  // A refused piece is made again and needs its inputs.
+  // A refused piece is executed again and needs its inputs.
   const std::vector<InputUse> calls{ { Start, Expected, true } };
   CHECK(Judge(0, calls, Expected / 2) == InputVerdict::RoomShort);
 }
 
-TEST_CASE("Inputs are kept for a while after released ones were missed")
+TEST_CASE("Inputs are kept for a time after released inputs were missed")
 {
-  // Otherwise calls that queue at an endpoint would fail again and again.
+  // Otherwise, calls that queue at an endpoint would fail repeatedly.
   const std::vector<InputUse> calls{ { Start, Expected } };
   const wg::Elapsed now = Start + Expected / 2;
   CHECK(JudgeInputs(0, calls,
-                    now - wg::InputLossMemory + absl::Milliseconds(1),
+                    now - wg::InputLossHoldTime + absl::Milliseconds(1),
                     now) == InputVerdict::RecentLoss);
-  CHECK(JudgeInputs(0, calls, now - wg::InputLossMemory, now) ==
+  CHECK(JudgeInputs(0, calls, now - wg::InputLossHoldTime, now) ==
         InputVerdict::Release);
 }
 
-TEST_CASE("No call is made that the last answer proves too large")
+TEST_CASE("No call is sent that the last answer shows to be too large")
 {
-  // 100 recorded with the call, of which 30 were refused: 70 fitted, 71 not.
+  // 100 recorded with the call, of which 30 were refused: 70 fit, 71 do not.
   const auto evidence = wg::EvidenceOf({ 100, 100, 30, 30, 1 }, Start);
   CHECK(wg::RoomBound(evidence, Start) == 70);
-  CHECK(wg::RoomBound(evidence, Start + wg::RoomRetryPeriod -
+  CHECK(wg::RoomBound(evidence, Start + wg::BufferRetryPeriod -
                                   absl::Milliseconds(1)) == 70);
-  // What the endpoint holds unknown ends: more is tried step by step.
-  CHECK(wg::RoomBound(evidence, Start + wg::RoomRetryPeriod) == 100);
-  CHECK(wg::RoomBound(evidence, Start + 2 * wg::RoomRetryPeriod) == 130);
+  // Unknown results expire, so the bound grows step by step.
+  CHECK(wg::RoomBound(evidence, Start + wg::BufferRetryPeriod) == 100);
+  CHECK(wg::RoomBound(evidence, Start + 2 * wg::BufferRetryPeriod) == 130);
   CHECK(wg::IsRoomShort(evidence, Start));
-  CHECK_FALSE(wg::IsRoomShort(evidence, Start + wg::RoomBoundMemory));
-  CHECK(wg::RoomBound(evidence, Start + wg::RoomBoundMemory) ==
+  CHECK_FALSE(wg::IsRoomShort(evidence, Start + wg::ResultLifetime));
+  CHECK(wg::RoomBound(evidence, Start + wg::ResultLifetime) ==
         wg::UnboundedRoom);
   CHECK(wg::RoomBound({}, Start) == wg::UnboundedRoom);
 }
 
-TEST_CASE("Results released during a call count as room")
+TEST_CASE("Results released during a call count as buffered")
 {
-  // The endpoint may have judged before they were released.
+  // The endpoint may have refused results before the release.
   const auto evidence = wg::EvidenceOf({ 100, 60, 30, 30, 10 }, Start);
   CHECK(wg::RoomBound(evidence, Start) == 79);
 }
 
-TEST_CASE("Sizes that cannot be are not believed")
+TEST_CASE("Invalid sizes are clamped")
 {
-  // They come from other boxes; a sum that wraps would block an endpoint.
+  // Sizes come from other boxes; an overflow would block an endpoint.
   constexpr auto huge = std::numeric_limits<std::int64_t>::max();
   const auto large = wg::EvidenceOf({ huge, huge, -huge, huge, huge }, Start);
   const auto negative =
     wg::EvidenceOf({ -1, -huge, huge, -huge, -huge }, Start);
-  for (auto age = absl::ZeroDuration(); age < 2 * wg::RoomBoundMemory;
-       age += wg::RoomRetryPeriod) {
+  for (auto age = absl::ZeroDuration(); age < 2 * wg::ResultLifetime;
+       age += wg::BufferRetryPeriod) {
     CHECK(wg::RoomBound(large, Start + age) > 0);
     CHECK(wg::RoomBound(negative, Start + age) >= -1);
   }
-  // Results of no known size are tried again after one period.
-  CHECK(wg::RoomBound(negative, Start + wg::RoomRetryPeriod) == 0);
+  // Results of unknown size are tried again after one period.
+  CHECK(wg::RoomBound(negative, Start + wg::BufferRetryPeriod) == 0);
 }
 
-TEST_CASE("An endpoint that holds unknown results refuses few pieces")
+TEST_CASE("An endpoint with unknown results in its buffer refuses few pieces")
 {
-  // A new coordinator does not know what the one before had made: 138 places,
-  // 100 of them taken, which end within 2.5 s. A refused piece waits for one
-  // more call, and after four its work fails.
+  // A new coordinator does not know the results of its predecessor: the buffer
+  // holds 138 results, 100 of them unknown, which expire within 2.5 s. A
+  // refused piece waits for another call, and after four its work fails.
   const Endpoint endpoint{ 138, 100, 0 };
   const Totals before = Fill(endpoint, Rule::Counted);
   const Totals after = Fill(endpoint, Rule::Bound);
@@ -195,9 +195,9 @@
   CHECK(4 * after.made >= 3 * before.made);
 }
 
-// Failure: inputs are released early where nobody needs their room, and each
-// piece that fails has all stages of its request executed again.
-TEST_CASE("Room is scarce once results take half of it")
+// Failure: inputs are released early while buffers have space, and each piece
+// that fails has all stages of its request executed again.
+TEST_CASE("Buffers are scarce once results fill half of them")
 {
   CHECK_FALSE(wg::IsRoomScarce(49, 100));
   CHECK(wg::IsRoomScarce(50, 100));
