--- a/Source/Decision/wgCrashEvidence.cxx
+++ b/Source/Decision/wgCrashEvidence.cxx
@@ -7,16 +7,16 @@
 namespace wg {
 namespace {
 
-/** An identity and a fingerprint are far shorter. */
+/** Identities and fingerprints are far shorter. */
 constexpr std::size_t MaxNameBytes = 200;
 
-using Ends = std::set<std::string>;                // of endpoints
-using EndsByRequest = std::map<std::string, Ends>; // those that count
+using Ends = std::set<std::string>;                // identities of starts
+using EndsByRequest = std::map<std::string, Ends>; // without outweighed ones
 
-/** Those of requests with enough of them; most have one or two. Records of a
- * request stand together.
+/** Returns the ends of requests that have enough for quarantine; most requests
+ * have one or two. Records of a request are adjacent.
  */
-EndsByRequest CountedEnds(const CrashEvidence& evidence)
+EndsByRequest EndsForQuarantine(const CrashEvidence& evidence)
 {
   EndsByRequest all;
   const auto& records = evidence.records;
@@ -37,7 +37,6 @@
   return all;
 }
 
-/** Requests with enough ends, the one with most of them first. */
 EndsByRequest::iterator MostEnds(EndsByRequest& ends)
 {
   return std::max_element(ends.begin(), ends.end(),
@@ -55,22 +54,22 @@
   }
 }
 
-/** What one request explains does not count against those that ran beside
- * it: of twelve engines that ended under one request each took 1 to 4 others
- * along. All is weighed anew each time, so that one which was wrongly taken
- * for the cause is let go once another has more ends.
+/** An end that one request explains does not count against the requests beside
+ * it: each of twelve engines that one request ended cut off 1 to 4 other
+ * requests. The quarantine is computed anew each time, so that it ends for an
+ * innocent request once another has more ends.
  */
-void Judge(CrashEvidence& evidence)
+void UpdateQuarantine(CrashEvidence& evidence)
 {
   evidence.quarantined.clear();
-  EndsByRequest ends = CountedEnds(evidence);
+  EndsByRequest ends = EndsForQuarantine(evidence);
   while (!ends.empty()) {
-    const auto most = MostEnds(ends);
-    if (most->second.size() < evidence.rules.endsToQuarantine) {
+    const auto cause = MostEnds(ends);
+    if (cause->second.size() < evidence.rules.endsToQuarantine) {
       return;
     }
-    evidence.quarantined.insert(most->first);
-    const Ends explained = most->second;
+    evidence.quarantined.insert(cause->first);
+    const Ends explained = cause->second;
     RemoveEnds(ends, explained);
   }
 }
@@ -78,18 +77,21 @@
 void NoteChange(CrashEvidence& evidence, CrashRecord& record)
 {
   record.revision = ++evidence.revision;
-  Judge(evidence);
+  UpdateQuarantine(evidence);
 }
 
-absl::Duration KeptFor(const CrashEvidence& evidence,
-                       absl::string_view request)
+absl::Duration RetentionOf(const CrashEvidence& evidence,
+                           absl::string_view request)
 {
   return IsQuarantined(evidence, request) ? evidence.rules.quarantineFor
                                           : evidence.rules.suspectFor;
 }
 
-/** The oldest one of a request that is not quarantined gives way. */
-bool MakeRoom(CrashEvidence& evidence)
+/** If the evidence is full, evicts the oldest record of a request that is not
+ * quarantined.
+ * \return whether a record may be added
+ */
+bool EvictIfFull(CrashEvidence& evidence)
 {
   if (evidence.records.size() < evidence.rules.maxRecords) {
     return true;
@@ -110,7 +112,7 @@
   return true;
 }
 
-bool IsSound(const wire::Crash& crash)
+bool IsValid(const wire::Crash& crash)
 {
   const auto isName = [](const std::string& name) {
     return !name.empty() && name.size() <= MaxNameBytes;
@@ -131,36 +133,36 @@
 {
   const Elapsed noted = now - absl::Milliseconds(crash.age_ms());
   const bool isOver = now - noted > evidence.rules.quarantineFor;
-  if (!IsSound(crash) || isOver) {
+  if (!IsValid(crash) || isOver) {
     return false;
   }
   const CrashKey key{ crash.request(), crash.endpoint() };
-  if (evidence.records.count(key) == 0 && !MakeRoom(evidence)) {
+  if (evidence.records.count(key) == 0 && !EvictIfFull(evidence)) {
     return false;
   }
   auto [found, isNew] = evidence.records.try_emplace(key);
   CrashRecord& record = found->second;
   record.noted = isNew ? noted : std::min(record.noted, noted);
-  const bool isNews = isNew || (crash.outweighed() && !record.outweighed);
+  const bool isChanged = isNew || (crash.outweighed() && !record.outweighed);
   record.outweighed |= crash.outweighed();
-  if (isNews) {
+  if (isChanged) {
     NoteChange(evidence, record);
   }
-  return isNews;
+  return isChanged;
 }
 
 bool NoteAnswered(CrashEvidence& evidence, absl::string_view request)
 {
-  bool isNews = false;
+  bool isChanged = false;
   for (auto it = evidence.records.lower_bound({ std::string(request), "" });
        it != evidence.records.end() && it->first.request == request; ++it) {
     if (!it->second.outweighed) {
       it->second.outweighed = true;
       NoteChange(evidence, it->second);
-      isNews = true;
+      isChanged = true;
     }
   }
-  return isNews;
+  return isChanged;
 }
 
 bool IsTakenToHaveEnded(const CrashEvidence& evidence,
@@ -174,15 +176,15 @@
 
 bool NoteLives(CrashEvidence& evidence, absl::string_view endpoint)
 {
-  bool isNews = false;
+  bool isChanged = false;
   for (auto& [key, record] : evidence.records) {
     if (key.endpoint == endpoint && !record.outweighed) {
       record.outweighed = true;
       NoteChange(evidence, record);
-      isNews = true;
+      isChanged = true;
     }
   }
-  return isNews;
+  return isChanged;
 }
 
 bool IsSuspect(const CrashEvidence& evidence, absl::string_view request)
@@ -203,22 +205,22 @@
 
 void ExpireCrashes(CrashEvidence& evidence, Elapsed now)
 {
-  std::map<std::string, Elapsed> last; // crash of each request
+  std::map<std::string, Elapsed> last; // noted crash of each request
   for (const auto& [key, record] : evidence.records) {
     Elapsed& noted = last.try_emplace(key.request, record.noted).first->second;
     noted = std::max(noted, record.noted);
   }
-  bool isAny = false;
+  bool isExpired = false;
   for (auto it = evidence.records.begin(); it != evidence.records.end();) {
     const auto current = it++;
     const std::string& request = current->first.request;
-    if (now - last[request] > KeptFor(evidence, request)) {
+    if (now - last[request] > RetentionOf(evidence, request)) {
       evidence.records.erase(current);
-      isAny = true;
+      isExpired = true;
     }
   }
-  if (isAny) {
-    Judge(evidence);
+  if (isExpired) {
+    UpdateQuarantine(evidence);
   }
 }
 
@@ -236,21 +238,21 @@
 }
 
 std::vector<wire::Crash> CrashesSince(const CrashEvidence& evidence,
-                                      std::uint64_t revision, std::size_t most,
-                                      Elapsed now)
+                                      std::uint64_t revision,
+                                      std::size_t maxCount, Elapsed now)
 {
-  std::vector<wire::Crash> news;
+  std::vector<wire::Crash> changes;
   for (const auto& [key, record] : evidence.records) {
     if (record.revision > revision) {
-      news.push_back(TellCrash(key, record, now));
+      changes.push_back(TellCrash(key, record, now));
     }
   }
-  std::sort(news.begin(), news.end(),
+  std::sort(changes.begin(), changes.end(),
             [](const wire::Crash& left, const wire::Crash& right) {
               return left.revision() < right.revision();
             });
-  news.resize(std::min(news.size(), most));
-  return news;
+  changes.resize(std::min(changes.size(), maxCount));
+  return changes;
 }
 
 } // namespace wg
--- a/Source/Decision/wgCrashEvidence.h
+++ b/Source/Decision/wgCrashEvidence.h
@@ -16,93 +16,93 @@
 
 namespace wg {
 
-/** \brief Which request ran at which start of an endpoint when that ended. */
+/** \brief A request that ran at a start of an endpoint when the start ended.
+ */
 struct CrashKey
 {
-  std::string request;  // its fingerprint
-  std::string endpoint; // the identity of the start
+  std::string request;  // fingerprint of the request
+  std::string endpoint; // identity of the start
 };
 bool operator<(const CrashKey& left, const CrashKey& right);
 
-/** \brief What is known of one of them. */
+/** \brief The evidence of one crash against one request. */
 struct CrashRecord
 {
-  Elapsed noted;           // when it was first noted anywhere, by this clock
-  bool outweighed = false; // the request was answered, or the start lives
-  std::uint64_t revision = 0; // of the evidence, when this last changed
+  Elapsed noted;           // when any box first noted it, by this clock
+  bool outweighed = false; // the request was answered, or the start is live
+  std::uint64_t revision =
+    0; // of the evidence, at the last change of this record
 };
 
-/** \brief How a crash is weighed, and for how long it is kept. */
+/** \brief How crashes are counted, and how long they are kept. */
 struct CrashRules
 {
-  /** The operators bear three endpoints that end under a request. */
+  /** Operators tolerate three endpoints that one request ends. */
   std::size_t endsToQuarantine = 3;
-  /** An innocent request that met a crash is answered, or given up by its
-   * caller, within this time.
+  /** Within this time, an innocent request that met a crash is answered or
+   * cancelled by its caller.
    */
   absl::Duration suspectFor = absl::Minutes(10);
-  /** From its last crash on. A defect is mended within a day, or the request
-   * ends three more endpoints a day.
+  /** From its last crash on. A defect is fixed within a day; otherwise the
+   * request ends three more endpoints a day.
    */
   absl::Duration quarantineFor = absl::Hours(24);
-  /** Some 150 bytes each: 64 crashes of endpoints with 64 requests. */
+  /** Some 150 bytes each: 64 crashes with 64 requests each. */
   std::size_t maxRecords = 4096;
 };
 
-/** \brief All that is known of requests that ran at endpoints which ended.
+/** \brief The evidence against requests that ran at endpoints which ended.
  *
- * Each process has its own copy; merging them in any order, and any number of
- * times, gives the same. A request that ran at three endpoints when they
- * ended is quarantined: it is sent to none any more. Others ran beside it, so
- * an end counts against one request only, that with most of them, and none
- * counts that a later answer outweighs.
+ * Each process has its own copy. Merging is commutative and idempotent. A
+ * request that ran at three endpoints when they ended is quarantined: it is
+ * sent to no endpoint any more. Other requests ran beside it, so an end counts
+ * only against the request with the most ends, and not at all if a later
+ * answer outweighs it.
  */
 struct CrashEvidence
 {
   CrashRules rules;
   std::uint64_t revision = 0;
   std::map<CrashKey, CrashRecord> records;
-  std::set<std::string> quarantined; // fingerprints, found from the records
+  std::set<std::string> quarantined; // fingerprints, derived from the records
 };
 
-/** \brief Takes a crash in that this process noted or was told of.
- * \return whether that was news
+/** \brief Merges a crash that this process noted or received.
+ * \return whether the evidence changed
  */
 bool MergeCrash(CrashEvidence& evidence, const wire::Crash& crash,
                 Elapsed now);
 
-/** \brief A request was answered by an endpoint: what it was suspected of
- * until now is outweighed.
- * \return whether that was news
+/** \brief Records that an endpoint answered a request, which outweighs its
+ * crashes up to now.
+ * \return whether the evidence changed
  */
 bool NoteAnswered(CrashEvidence& evidence, absl::string_view request);
 
-/** \brief Whether it counts against any request that this start has ended. */
+/** \brief Whether the end of this start counts against any request. */
 bool IsTakenToHaveEnded(const CrashEvidence& evidence,
                         absl::string_view endpoint);
 
-/** \brief The start lives: it was cut off, which looks like an end from where
- * connections to it are reset.
- * \return whether that was news
+/** \brief Records that the start is live: it was unreachable, and resets of
+ * connections to it looked like its end.
+ * \return whether the evidence changed
  */
 bool NoteLives(CrashEvidence& evidence, absl::string_view endpoint);
 
-/** \brief Whether crashes count against it. */
+/** \brief Whether crashes count against the request. */
 bool IsSuspect(const CrashEvidence& evidence, absl::string_view request);
 bool IsQuarantined(const CrashEvidence& evidence, absl::string_view request);
 
-/** \brief Forgets what is too old. To be called once a second or less. */
+/** \brief Removes expired records. To be called at most once a second. */
 void ExpireCrashes(CrashEvidence& evidence, Elapsed now);
 
-/** \brief As it is told to others, with its age. */
 wire::Crash TellCrash(const CrashKey& key, const CrashRecord& record,
                       Elapsed now);
 
-/** \brief What changed after a revision, the oldest change first, so many at
- * the most.
+/** \brief Returns the records changed after a revision, oldest change first.
  */
 std::vector<wire::Crash> CrashesSince(const CrashEvidence& evidence,
-                                      std::uint64_t revision, std::size_t most,
-                                      Elapsed now);
+                                      std::uint64_t revision,
+                                      std::size_t maxCount, Elapsed now);
 
 } // namespace wg
--- a/Source/Decision/wgHallOrders.cxx
+++ b/Source/Decision/wgHallOrders.cxx
@@ -4,7 +4,8 @@
 namespace wg {
 namespace {
 
-/** Sites have three to five; every control box and gateway keeps them all. */
+/** Deployments have three to five; all control boxes and gateways keep them.
+ */
 constexpr std::size_t MaxHalls = 1000;
 
 } // namespace
@@ -42,25 +43,25 @@
 
 wire::HallOrders ToWire(const HallOrders& orders)
 {
-  wire::HallOrders told;
-  told.set_newest(orders.newest);
+  wire::HallOrders message;
+  message.set_newest(orders.newest);
   for (const auto& [hall, order] : orders.halls) {
-    wire::HallOrder& out = *told.add_halls();
+    wire::HallOrder& out = *message.add_halls();
     out.set_hall(hall);
     out.set_evacuated(order.evacuated);
     out.set_number(order.number);
   }
-  return told;
+  return message;
 }
 
 HallOrders FromWire(const wire::HallOrders& orders)
 {
-  HallOrders read;
-  read.newest = orders.newest();
+  HallOrders result;
+  result.newest = orders.newest();
   for (const wire::HallOrder& in : orders.halls()) {
-    read.halls[in.hall()] = { in.evacuated(), in.number() };
+    result.halls[in.hall()] = { in.evacuated(), in.number() };
   }
-  return read;
+  return result;
 }
 
 } // namespace wg
--- a/Source/Decision/wgHallOrders.h
+++ b/Source/Decision/wgHallOrders.h
@@ -11,15 +11,15 @@
 
 namespace wg {
 
-/** \brief The order that holds for a hall. */
+/** \brief The order in force for a hall. */
 struct HallOrder
 {
-  bool evacuated = false;   // its endpoints get no new work
-  std::uint64_t number = 0; // orders on all halls are counted together
+  bool evacuated = false;   // the endpoints of the hall get no new work
+  std::uint64_t number = 0; // one sequence for all halls
 };
 
-/** \brief Operators' orders on halls: part of the replicated state, and what
- * a gateway has heard of it.
+/** \brief Operators' orders on halls: part of the replicated state, and its
+ * copy in a gateway.
  */
 struct HallOrders
 {
@@ -27,24 +27,22 @@
   std::map<std::string, HallOrder> halls;
 };
 
-/** \brief What became of an order. */
 enum class HallOrderTaken
 {
-  Holds,     // from now on, or already before
-  Overtaken, // another order came after the one that its author saw
-  Refused    // it names no hall, or one more than can be kept
+  Holds,     // in force from now on, or already before
+  Overtaken, // a newer order follows the one that its author saw
+  Refused    // it names no hall, or there are too many halls
 };
 
-/** \brief Takes an order in. One that says what holds already changes
- * nothing, however often it is sent; one that is based on an order that no
- * longer holds changes nothing either, so that a late copy of it can't undo
- * what came after it.
+/** \brief Applies an order. An order that repeats the one in force changes
+ * nothing. Nor does one based on a superseded order, so that a late copy can't
+ * undo newer orders.
  */
 HallOrderTaken TakeHallOrder(HallOrders& orders, const wire::OrderHall& order);
 
 bool IsEvacuated(const HallOrders& orders, absl::string_view hall);
 
-/** \brief The order that holds for the hall; number 0 where there was none. */
+/** \brief The order in force for the hall; number 0 if there was none. */
 HallOrder FindHallOrder(const HallOrders& orders, absl::string_view hall);
 
 wire::HallOrders ToWire(const HallOrders& orders);
--- a/Tests/Decision/wgCrashEvidenceTest.cxx
+++ b/Tests/Decision/wgCrashEvidenceTest.cxx
@@ -49,18 +49,19 @@
   CrashEvidence evidence;
   End(evidence, "e1", { "a" });
   End(evidence, "e2", { "a" });
-  End(evidence, "e2", { "a" }); // told twice, by two boxes
+  End(evidence, "e2", { "a" }); // reported by two boxes
   CHECK(IsSuspect(evidence, "a"));
   CHECK_FALSE(IsQuarantined(evidence, "a"));
   End(evidence, "e3", { "a" });
   CHECK(IsQuarantined(evidence, "a"));
 }
 
-TEST_CASE("Innocent requests beside one that ends endpoints are let go",
-          "[crashes]")
+TEST_CASE(
+  "Innocent requests beside one that ends endpoints are not quarantined",
+  "[crashes]")
 {
-  // 64 requests run at an engine; each of twelve that ended took 1 to 4 other
-  // streams along, and some of them met it again.
+  // 64 requests run at an engine. Each of twelve engines that ended cut off 1
+  // to 4 other streams, some of which met the bad request again.
   CrashEvidence evidence;
   End(evidence, "e1", { "bad", "b" });
   End(evidence, "e2", { "bad", "b" });
@@ -71,20 +72,23 @@
   CHECK_FALSE(IsQuarantined(evidence, "c"));
 }
 
-TEST_CASE("One that was wrongly taken for the cause is let go", "[crashes]")
+TEST_CASE(
+  "The quarantine of an innocent request ends once another has more ends",
+  "[crashes]")
 {
   CrashEvidence evidence;
   for (const char* endpoint : { "e1", "e2", "e3" }) {
     End(evidence, endpoint, { "a-innocent", "bad" });
   }
-  // Both have the same ends: one of them is held until the next one tells.
+  // Both have the same ends: one is quarantined until the next end decides.
   CHECK(evidence.quarantined.size() == 1);
   End(evidence, "e4", { "bad" });
   CHECK(IsQuarantined(evidence, "bad"));
   CHECK_FALSE(IsQuarantined(evidence, "a-innocent"));
 }
 
-TEST_CASE("An answer outweighs what came before it", "[crashes]")
+TEST_CASE("An answer outweighs the crashes before it, not those after it",
+          "[crashes]")
 {
   CrashEvidence evidence;
   End(evidence, "e1", { "a" });
@@ -94,42 +98,42 @@
   CHECK_FALSE(NoteAnswered(evidence, "never met a crash"));
   End(evidence, "e3", { "a" });
   CHECK_FALSE(IsQuarantined(evidence, "a"));
-  // Not what comes after it: a new version may have brought the defect.
+  // A new version may have brought the defect.
   End(evidence, "e4", { "a" });
   End(evidence, "e5", { "a" });
   CHECK(IsQuarantined(evidence, "a"));
 }
 
-TEST_CASE("An answer lets go a request that was held", "[crashes]")
+TEST_CASE("An answer ends the quarantine of its request", "[crashes]")
 {
   CrashEvidence evidence;
   for (const char* endpoint : { "e1", "e2", "e3" }) {
     End(evidence, endpoint, { "a" });
   }
-  NoteAnswered(evidence, "a"); // it was under way elsewhere meanwhile
+  NoteAnswered(evidence, "a"); // it was running elsewhere
   CHECK_FALSE(IsQuarantined(evidence, "a"));
 }
 
-TEST_CASE("Merging in any order gives the same", "[crashes]")
+TEST_CASE("Merging in any order gives the same evidence", "[crashes]")
 {
   const unsigned seed = GENERATE(range(1U, 60U));
   CAPTURE(seed);
   std::mt19937 random(seed);
-  std::vector<Crash> news;
+  std::vector<Crash> crashes;
   for (int i = 0; i < 30; ++i) {
-    news.push_back(
+    crashes.push_back(
       Ran(absl::StrCat("r", random() % 6), absl::StrCat("e", random() % 8)));
-    news.back().set_outweighed(random() % 5 == 0);
-    news.back().set_age_ms(random() % 1000);
+    crashes.back().set_outweighed(random() % 5 == 0);
+    crashes.back().set_age_ms(random() % 1000);
   }
   CrashEvidence one;
   CrashEvidence other;
-  for (const Crash& crash : news) {
+  for (const Crash& crash : crashes) {
     MergeCrash(one, crash, Start);
   }
-  news.insert(news.end(), news.begin(), news.begin() + 10);
-  std::shuffle(news.begin(), news.end(), random);
-  for (const Crash& crash : news) {
+  crashes.insert(crashes.end(), crashes.begin(), crashes.begin() + 10);
+  std::shuffle(crashes.begin(), crashes.end(), random);
+  for (const Crash& crash : crashes) {
     MergeCrash(other, crash, Start);
   }
   CHECK(one.quarantined == other.quarantined);
@@ -152,13 +156,13 @@
   ExpireCrashes(evidence, Start + absl::Hours(25));
   CHECK_FALSE(IsQuarantined(evidence, "bad"));
   CHECK(evidence.records.empty());
-  // Nor does a box that kept it for longer bring it back.
+  // Expired records of other boxes are ignored.
   Crash old = Ran("bad", "e1");
   old.set_age_ms(absl::ToInt64Milliseconds(absl::Hours(25)));
   CHECK_FALSE(MergeCrash(evidence, old, Start + absl::Hours(25)));
 }
 
-TEST_CASE("What is kept is bounded, and no suspicion drives a quarantine out",
+TEST_CASE("Records are bounded, and suspects evict no quarantined request",
           "[crashes]")
 {
   CrashEvidence evidence;
@@ -176,7 +180,7 @@
   CHECK_FALSE(IsSuspect(evidence, "r0"));
 }
 
-TEST_CASE("What can't be a crash is not taken", "[crashes]")
+TEST_CASE("Invalid crashes are ignored", "[crashes]")
 {
   CrashEvidence evidence;
   CHECK_FALSE(MergeCrash(evidence, Ran("", "e1"), Start));
@@ -187,7 +191,7 @@
   CHECK_FALSE(MergeCrash(evidence, future, Start));
 }
 
-TEST_CASE("Changes are told in order, a part at a time", "[crashes]")
+TEST_CASE("Changes are returned in order, up to a maximum count", "[crashes]")
 {
   CrashEvidence evidence;
   for (int i = 0; i < 5; ++i) {
--- a/Tests/Decision/wgHallOrdersTest.cxx
+++ b/Tests/Decision/wgHallOrdersTest.cxx
@@ -21,7 +21,7 @@
 
 } // namespace
 
-TEST_CASE("An order that is sent again stays one order")
+TEST_CASE("A repeated order is applied once")
 {
   wg::HallOrders orders;
   REQUIRE(TakeHallOrder(orders, Order("h1", true, 0)) ==
@@ -32,10 +32,10 @@
   CHECK_FALSE(wg::IsEvacuated(orders, "h2"));
 }
 
-TEST_CASE("A late copy of an order does not undo what came after it")
+TEST_CASE("A late copy of an order does not undo newer orders")
 {
-  // Two operators, or one that sends again what it takes to be lost: the copy
-  // is based on what held before the hall was taken back.
+  // Two operators send it, or one sends an order again that seemed lost. The
+  // copy is based on the state before the hall returned to service.
   wg::HallOrders orders;
   TakeHallOrder(orders, Order("h1", true, 0));
   REQUIRE(TakeHallOrder(orders, Order("h1", false, 1)) ==
@@ -60,15 +60,15 @@
   CHECK(TakeHallOrder(orders, Order("h7", false, 8)) == HallOrderTaken::Holds);
 }
 
-TEST_CASE("Orders are told whole")
+TEST_CASE("Orders keep all fields in a message")
 {
   wg::HallOrders orders;
   TakeHallOrder(orders, Order("h1", true, 0));
   TakeHallOrder(orders, Order("h2", true, 0));
   TakeHallOrder(orders, Order("h1", false, 1));
-  const wg::HallOrders read = wg::FromWire(wg::ToWire(orders));
-  CHECK(read.newest == 3);
-  CHECK(wg::FindHallOrder(read, "h1").number == 3);
-  CHECK_FALSE(wg::IsEvacuated(read, "h1"));
-  CHECK(wg::IsEvacuated(read, "h2"));
+  const wg::HallOrders result = wg::FromWire(wg::ToWire(orders));
+  CHECK(result.newest == 3);
+  CHECK(wg::FindHallOrder(result, "h1").number == 3);
+  CHECK_FALSE(wg::IsEvacuated(result, "h1"));
+  CHECK(wg::IsEvacuated(result, "h2"));
 }
