--- a/Source/Decision/wgVersionRollout.cxx
+++ b/Source/Decision/wgVersionRollout.cxx
@@ -11,63 +11,63 @@
 
 using Rollout = wire::VersionRollout;
 
-/** Deployments have some ten services. */
+/** Deployments have some ten. */
 constexpr std::size_t MaxServices = 1000;
-constexpr std::int64_t LongestMs = 24LL * 3600 * 1000;
-
-/** One or two failures may be a lost connection. */
-constexpr double LeastBad = 4.0;
-/** Of a difference of two shares; one in a thousand is larger by chance. */
-constexpr double ChanceDeviations = 3.1;
-/** Times differ between endpoints of one version by less. */
-constexpr double SlowFactor = 2.0;
-constexpr std::uint64_t LeastForTimes = 20;
-/** With a share of a quarter that fails, one in 300 shows none in 20. */
-constexpr std::uint64_t LeastForGood = 20;
-
-double ShareOf(std::uint64_t part, std::uint64_t whole)
+constexpr std::int64_t MaxDurationMs = 24LL * 3600 * 1000;
+
+/** One or two failures may come from a lost connection. */
+constexpr double MinBadAnswers = 4.0;
+/** Of the difference of two ratios; one in a thousand is larger by chance. */
+constexpr double SignificantDeviations = 3.1;
+/** Times of endpoints of one version differ by less. */
+constexpr double MaxSlowdown = 2.0;
+constexpr std::uint64_t MinAnswersForTimes = 20;
+/** If a quarter fails, one in 300 samples of 20 answers shows no failure. */
+constexpr std::uint64_t MinAnswersForGood = 20;
+
+double RatioOf(std::uint64_t part, std::uint64_t whole)
 {
   return static_cast<double>(part) /
          static_cast<double>(std::max<std::uint64_t>(whole, 1));
 }
 
-/** Whether the target's share is larger by more than chance explains. */
-bool IsWorse(std::uint64_t part, std::uint64_t whole, std::uint64_t otherPart,
-             std::uint64_t otherWhole)
+/** Whether the target's ratio is significantly larger. */
+bool IsSignificantlyWorse(std::uint64_t part, std::uint64_t whole,
+                          std::uint64_t otherPart, std::uint64_t otherWhole)
 {
-  if (static_cast<double>(part) < LeastBad) {
+  if (static_cast<double>(part) < MinBadAnswers) {
     return false;
   }
-  const double share = ShareOf(part, whole);
-  const double other = ShareOf(otherPart, otherWhole);
-  const double pooled = ShareOf(part + otherPart, whole + otherWhole);
+  const double ratio = RatioOf(part, whole);
+  const double other = RatioOf(otherPart, otherWhole);
+  const double pooled = RatioOf(part + otherPart, whole + otherWhole);
   const double deviation = std::sqrt(
     pooled * (1.0 - pooled) *
     (1.0 / static_cast<double>(std::max<std::uint64_t>(whole, 1)) +
      1.0 / static_cast<double>(std::max<std::uint64_t>(otherWhole, 1))));
-  return share - other > ChanceDeviations * deviation;
+  return ratio - other > SignificantDeviations * deviation;
 }
 
 bool IsSlower(const wire::VersionTally& target,
               const wire::VersionTally& others)
 {
-  const std::uint64_t sound = target.answers() - target.bad();
-  const std::uint64_t otherSound = others.answers() - others.bad();
-  if (sound < LeastForTimes || otherSound < LeastForTimes) {
+  const std::uint64_t succeeded = target.answers() - target.bad();
+  const std::uint64_t otherSucceeded = others.answers() - others.bad();
+  if (succeeded < MinAnswersForTimes || otherSucceeded < MinAnswersForTimes) {
     return false;
   }
-  return target.seconds() / static_cast<double>(sound) >
-         SlowFactor * others.seconds() / static_cast<double>(otherSound);
+  return target.seconds() / static_cast<double>(succeeded) >
+         MaxSlowdown * others.seconds() / static_cast<double>(otherSucceeded);
 }
 
 bool IsBadOnRoute(const RouteEvidence& route)
 {
   const wire::VersionTally& target = route.target;
   const wire::VersionTally& others = route.others;
-  return IsWorse(target.bad(), target.answers(), others.bad(),
-                 others.answers()) ||
-         IsWorse(target.late(), target.answers(), others.late(),
-                 others.answers()) ||
+  return IsSignificantlyWorse(target.bad(), target.answers(), others.bad(),
+                              others.answers()) ||
+         IsSignificantlyWorse(target.late(), target.answers(), others.late(),
+                              others.answers()) ||
          IsSlower(target, others);
 }
 
@@ -90,12 +90,12 @@
                                    const wire::OrderVersion& order)
 {
   const VersionRollout known = FindVersionRollout(rollouts, order.service());
-  const bool isSound = !order.service().empty() && !order.version().empty() &&
+  const bool isValid = !order.service().empty() && !order.version().empty() &&
                        order.duration_ms() > 0 &&
-                       order.duration_ms() <= LongestMs;
+                       order.duration_ms() <= MaxDurationMs;
   const bool isFull =
     known.number == 0 && rollouts.services.size() >= MaxServices;
-  if (!isSound || isFull) {
+  if (!isValid || isFull) {
     return VersionOrderTaken::Refused;
   }
   if (IsInProgress(known)) {
@@ -118,10 +118,10 @@
 void TakeVersionMove(VersionRollouts& rollouts, const wire::MoveVersion& move)
 {
   auto found = rollouts.services.find(move.service());
-  const bool holds = found != rollouts.services.end() &&
-                     found->second.number == move.number() &&
-                     IsInProgress(found->second);
-  if (!holds) {
+  const bool isCurrent = found != rollouts.services.end() &&
+                         found->second.number == move.number() &&
+                         IsInProgress(found->second);
+  if (!isCurrent) {
     return;
   }
   VersionRollout& rollout = found->second;
@@ -162,8 +162,8 @@
     }
     answers += route.target.answers();
   }
-  return answers >= LeastForGood ? VersionVerdict::Good
-                                 : VersionVerdict::Unknown;
+  return answers >= MinAnswersForGood ? VersionVerdict::Good
+                                      : VersionVerdict::Unknown;
 }
 
 wire::MoveVersion DecideVersion(const std::string& service,
@@ -182,18 +182,18 @@
                         elapsed)
              : MakeMove(service, rollout, Rollout::ROLLED_BACK, 0, elapsed);
   }
-  const bool isFinal = elapsed >= end - FinalShare * rollout.duration;
+  const bool isFinal = elapsed >= end - FinalFraction * rollout.duration;
   return MakeMove(service, rollout, Rollout::IN_PROGRESS,
                   isFinal && isGood ? AllPermille : FirstPermille, elapsed);
 }
 
 wire::VersionRollouts ToWire(const VersionRollouts& rollouts)
 {
-  wire::VersionRollouts told;
-  told.set_newest(rollouts.newest);
-  told.set_orders(rollouts.orders);
+  wire::VersionRollouts message;
+  message.set_newest(rollouts.newest);
+  message.set_orders(rollouts.orders);
   for (const auto& [service, rollout] : rollouts.services) {
-    wire::VersionRollout& out = *told.add_rollouts();
+    wire::VersionRollout& out = *message.add_rollouts();
     out.set_service(service);
     out.set_version(rollout.version);
     out.set_number(rollout.number);
@@ -202,16 +202,16 @@
     out.set_duration_ms(absl::ToInt64Milliseconds(rollout.duration));
     out.set_elapsed_ms(absl::ToInt64Milliseconds(rollout.elapsed));
   }
-  return told;
+  return message;
 }
 
 VersionRollouts FromWire(const wire::VersionRollouts& rollouts)
 {
-  VersionRollouts read;
-  read.newest = rollouts.newest();
-  read.orders = rollouts.orders();
+  VersionRollouts result;
+  result.newest = rollouts.newest();
+  result.orders = rollouts.orders();
   for (const wire::VersionRollout& in : rollouts.rollouts()) {
-    VersionRollout& rollout = read.services[in.service()];
+    VersionRollout& rollout = result.services[in.service()];
     rollout.version = in.version();
     rollout.number = in.number();
     rollout.state = in.state();
@@ -219,7 +219,7 @@
     rollout.duration = absl::Milliseconds(in.duration_ms());
     rollout.elapsed = absl::Milliseconds(in.elapsed_ms());
   }
-  return read;
+  return result;
 }
 
 absl::string_view NameOf(VersionState state)
--- a/Source/Decision/wgVersionRollout.h
+++ b/Source/Decision/wgVersionRollout.h
@@ -16,20 +16,20 @@
 using VersionState = wire::VersionRollout::State;
 
 /** \brief An operator's order to move a service's requests to endpoints of a
- * version, and how far that is.
+ * version, and its progress.
  */
 struct VersionRollout
 {
   std::string version;
-  std::uint64_t number = 0; // orders on all services are counted together
+  std::uint64_t number = 0; // one sequence for all services
   VersionState state = wire::VersionRollout::UNSPECIFIED;
-  std::uint32_t permille = 0; // of the requests, that go to the version
+  std::uint32_t permille = 0; // of the requests, routed to the version
   absl::Duration duration;    // from the order to its deadline
   absl::Duration elapsed;     // since the order, as last replicated
 };
 
 /** \brief The newest order on each service: part of the replicated state, and
- * what a gateway has heard of it.
+ * its copy in a gateway.
  */
 struct VersionRollouts
 {
@@ -38,53 +38,54 @@
   std::map<std::string, VersionRollout, std::less<>> services;
 };
 
-/** \brief What became of an order. */
 enum class VersionOrderTaken
 {
   Taken,
   UnderWay,  // an order on the service is in progress
-  Overtaken, // another order came after the one that its author saw
-  Refused    // it names no service, version or time
+  Overtaken, // a newer order follows the one that its author saw
+  Refused    // invalid service, version or duration, or too many services
 };
 
-/** \brief The share that a version gets from its order on: with FinalShare it
- * is less than the tenth of all requests that a bad version may get.
+/** \brief The requests that a version gets from its order on: together with
+ * FinalFraction less than the tenth of all requests that a bad version may
+ * get.
  */
 constexpr std::uint32_t FirstPermille = 40;
 constexpr std::uint32_t AllPermille = 1000;
 
-/** \brief The last part of an order's time, in which all requests go to the
- * version: endpoints of other versions end what they run before they stop.
+/** \brief The last part of an order's duration, in which all requests go to
+ * the version, so that endpoints of other versions finish their work before
+ * they stop.
  */
-constexpr double FinalShare = 0.05;
+constexpr double FinalFraction = 0.05;
 
-/** \brief A decision is replicated, and read by operators, before the
- * deadline.
+/** \brief Before the deadline: time to replicate a decision and for operators
+ * to read it.
  */
 constexpr absl::Duration DecisionMargin = absl::Milliseconds(300);
 
-/** \brief Takes an order in. */
 VersionOrderTaken TakeVersionOrder(VersionRollouts& rollouts,
                                    const wire::OrderVersion& order);
 
-/** \brief Takes in what the leader decided; nothing changes for an order that
- * has ended or is not the newest of its service.
+/** \brief Applies a decision of the leader. Ignored for an order that has
+ * ended or is not the newest of its service.
  */
 void TakeVersionMove(VersionRollouts& rollouts, const wire::MoveVersion& move);
 
-/** \brief The newest order on the service; number 0 where there is none. */
+/** \brief The newest order on the service; number 0 if there is none. */
 const VersionRollout& FindVersionRollout(const VersionRollouts& rollouts,
                                          absl::string_view service);
 
 bool IsInProgress(const VersionRollout& rollout);
 
-/** \brief Whether the request is one of those that go to the version. The
- * same everywhere, so that its tries agree; as the share grows, those that go
- * to the version stay among them.
+/** \brief Whether the request is routed to the version. All boxes compute the
+ * same, so that its attempts agree. Requests that go to the version still do
+ * when its permille grows.
  */
 bool GoesToVersion(const VersionRollout& rollout, absl::string_view request);
 
-/** \brief What is known of the version on one route, over all boxes. */
+/** \brief Answers of the version and of others on one route, over all boxes.
+ */
 struct RouteEvidence
 {
   wire::VersionTally target;
@@ -98,19 +99,19 @@
   Bad
 };
 
-/** \brief Compares the version with the others, on the same route in the same
- * time, so that a fault of what all of them use speaks against none.
+/** \brief Compares the version with the others on the same route at the same
+ * time, so that a fault of a shared dependency counts against none.
  *
- * Bad is a version that fails or is late more often than the others by more
- * than chance explains, or takes more than twice as long at the mean.
+ * A version is bad if it fails or is late significantly more often than the
+ * others, or takes more than twice as long on average.
  */
 VersionVerdict JudgeVersion(absl::Span<const RouteEvidence> routes);
 
-/** \brief The next decision on an order in progress.
+/** \brief Makes the next decision on an order in progress.
  *
- * A bad version gets nothing from its first sound evidence on. Any other gets
- * FirstPermille until shortly before the deadline, since a version may turn
- * bad late; then all, if it was seen to be good, and is completed.
+ * A bad version is rolled back on the first significant evidence. Any other
+ * gets FirstPermille until shortly before the deadline, since a version may
+ * turn bad late. A good one then gets all requests and is completed.
  * \param elapsed since the order
  */
 wire::MoveVersion DecideVersion(const std::string& service,
@@ -121,7 +122,7 @@
 wire::VersionRollouts ToWire(const VersionRollouts& rollouts);
 VersionRollouts FromWire(const wire::VersionRollouts& rollouts);
 
-/** \brief As operators read it: in_progress, completed or rolled_back. */
+/** \return in_progress, completed, rolled_back or unknown */
 absl::string_view NameOf(VersionState state);
 
 } // namespace wg
--- a/Tests/Decision/wgVersionRolloutTest.cxx
+++ b/Tests/Decision/wgVersionRolloutTest.cxx
@@ -40,32 +40,33 @@
   return move;
 }
 
-/** How a version answers. */
-struct Conduct
+/** The faults of a version. */
+struct Faults
 {
-  double failing = 0.0; // share of its answers
-  double slower = 0.0;  // share of them that takes five times as long
-  double from = 0.0;    // part of the time from which on
-  int route = -1;       // alone; below 0: all
+  double failing = 0.0; // fraction of its answers
+  double slower = 0.0; // fraction of its answers that takes five times as long
+  double from = 0.0;   // fraction of the duration after which they begin
+  int route = -1;      // the only affected one; below 0: all
 };
 
-/** What became of a roll-out that was played. */
-struct Played
+/** The result of a simulated roll-out. */
+struct Outcome
 {
   wg::VersionState state = Rollout::UNSPECIFIED;
-  absl::Duration ended; // since the order
-  int all = 0;          // requests until the deadline
+  absl::Duration endedAfter; // since the order
+  int all = 0;               // requests until the deadline
   int target = 0;
-  int bad = 0; // answers of the version
-  absl::Duration fiftieth = absl::InfiniteDuration();
-  absl::Duration lastSent; // to the version while it was not completed
+  int bad = 0; // bad answers of the version
+  absl::Duration fiftiethBad = absl::InfiniteDuration();
+  absl::Duration lastSent; // last request to the version while in progress
 };
 
-/** Requests of many boxes that tell a control box once a second what they saw.
- * \param fault share of all answers, of any version, that fail
+/** Simulates requests of many boxes that report their tallies to a control box
+ * once a second.
+ * \param fault fraction of all answers, of any version, that fail
  */
-Played Play(const Conduct& conduct, double durationSeconds, double perSecond,
-            double fault, std::uint64_t seed)
+Outcome Simulate(const Faults& faults, double durationSeconds,
+                 double perSecond, double fault, std::uint64_t seed)
 {
   constexpr int boxes = 50;
   constexpr int routes = 3;
@@ -84,7 +85,7 @@
       box.Add()->set_route(absl::StrCat("r", route));
     }
   }
-  Played played;
+  Outcome outcome;
   const auto steps = static_cast<int>(durationSeconds * perSecond * 1.05);
   for (int i = 0; i < steps; ++i) {
     const absl::Duration now = absl::Seconds(i / perSecond);
@@ -95,21 +96,21 @@
       wg::GoesToVersion(rollout, absl::StrCat("request", seed, "-", i));
     const int route = i % routes;
     const int box = static_cast<int>(draw() * boxes);
-    const bool acts = isTarget &&
-                      now >= conduct.from * absl::Seconds(durationSeconds) &&
-                      (conduct.route < 0 || conduct.route == route);
-    const bool fails = draw() < fault || (acts && draw() < conduct.failing);
-    const bool isSlow = acts && draw() < conduct.slower;
+    const bool isFaulty =
+      isTarget && now >= faults.from * absl::Seconds(durationSeconds) &&
+      (faults.route < 0 || faults.route == route);
+    const bool fails = draw() < fault || (isFaulty && draw() < faults.failing);
+    const bool isSlow = isFaulty && draw() < faults.slower;
     const double took = (0.05 + 0.05 * draw()) * (isSlow ? 5.0 : 1.0);
     if (isBefore) {
-      ++played.all;
-      played.target += isTarget ? 1 : 0;
+      ++outcome.all;
+      outcome.target += isTarget ? 1 : 0;
     }
     if (isTarget && rollout.state == Rollout::IN_PROGRESS) {
-      played.lastSent = now;
+      outcome.lastSent = now;
     }
-    if (isTarget && acts && (fails || isSlow) && ++played.bad == 50) {
-      played.fiftieth = now;
+    if (isTarget && isFaulty && (fails || isSlow) && ++outcome.bad == 50) {
+      outcome.fiftiethBad = now;
     }
     wg::wire::VersionEvidence& evidence =
       *seen[static_cast<std::size_t>(box)].Mutable(route);
@@ -119,35 +120,35 @@
     tally.set_bad(tally.bad() + (fails ? 1 : 0));
     tally.set_late(tally.late() + (!fails && took > 0.2 ? 1 : 0));
     tally.set_seconds(tally.seconds() + (fails ? 0.0 : took));
-    // Each box tells once a second, at its own moment.
-    const int telling =
+    // Each box reports once a second, at its own moment.
+    const int reporting =
       static_cast<int>(static_cast<double>(i) / perSecond * boxes) % boxes;
-    auto& told = seen[static_cast<std::size_t>(telling)];
-    for (wg::wire::VersionEvidence& one : told) {
-      one.set_box(absl::StrCat("b", telling));
+    auto& report = seen[static_cast<std::size_t>(reporting)];
+    for (wg::wire::VersionEvidence& one : report) {
+      one.set_box(absl::StrCat("b", reporting));
       one.set_service("svc");
       one.set_number(rollout.number);
     }
-    wg::TakeEvidence(conductor, rollouts, told);
+    wg::TakeEvidence(conductor, rollouts, report);
     for (const wg::wire::MoveVersion& move :
          wg::NextMoves(conductor, rollouts, absl::Seconds(100) + now)) {
       wg::TakeVersionMove(rollouts, move);
     }
     const wg::VersionRollout& after = wg::FindVersionRollout(rollouts, "svc");
-    if (!wg::IsInProgress(after) && played.state == Rollout::UNSPECIFIED) {
-      played.state = after.state;
-      played.ended = now;
+    if (!wg::IsInProgress(after) && outcome.state == Rollout::UNSPECIFIED) {
+      outcome.state = after.state;
+      outcome.endedAfter = now;
     }
   }
-  return played;
+  return outcome;
 }
 
-constexpr double ExposureShare = 0.1;
+constexpr double ExposureFraction = 0.1;
 constexpr int ExposureSlack = 50;
 
 } // namespace
 
-TEST_CASE("An order is taken once, and a late copy changes nothing")
+TEST_CASE("An order is applied once, and a late copy changes nothing")
 {
   wg::VersionRollouts rollouts;
   CHECK(wg::TakeVersionOrder(rollouts, MakeOrder("v2", 0)) ==
@@ -157,7 +158,7 @@
   CHECK(wg::TakeVersionOrder(rollouts, MakeOrder("v3", 1)) ==
         wg::VersionOrderTaken::UnderWay);
   wg::TakeVersionMove(rollouts, MakeMove(1, Rollout::ROLLED_BACK, 0));
-  // The same order, held up on its way to the leader.
+  // A copy of the order that reaches the leader late.
   CHECK(wg::TakeVersionOrder(rollouts, MakeOrder("v2", 0)) ==
         wg::VersionOrderTaken::Overtaken);
   CHECK(wg::FindVersionRollout(rollouts, "svc").state == Rollout::ROLLED_BACK);
@@ -166,7 +167,7 @@
   CHECK(wg::FindVersionRollout(rollouts, "svc").number == 2);
 }
 
-TEST_CASE("An order that names nothing is refused")
+TEST_CASE("An order without a service, version or duration is refused")
 {
   wg::VersionRollouts rollouts;
   CHECK(wg::TakeVersionOrder(rollouts, MakeOrder("", 0)) ==
@@ -182,7 +183,7 @@
   CHECK(rollouts.newest == 0);
 }
 
-TEST_CASE("What has ended is not moved by a late decision")
+TEST_CASE("A late decision does not change an order that has ended")
 {
   wg::VersionRollouts rollouts;
   wg::TakeVersionOrder(rollouts, MakeOrder("v2", 0));
@@ -194,7 +195,7 @@
   CHECK(wg::IsInProgress(wg::FindVersionRollout(rollouts, "svc")));
 }
 
-TEST_CASE("Orders are part of the state that lasts")
+TEST_CASE("Orders are saved and loaded with the state")
 {
   wg::ServiceState state;
   wg::wire::Change change;
@@ -215,44 +216,44 @@
   CHECK(wg::IsInProgress(kept));
 }
 
-TEST_CASE("A good version is completed by its deadline, also while a tenth of "
+TEST_CASE("A good version is completed by its deadline, even while a tenth of "
           "all answers fails")
 {
   const double fault = GENERATE(0.0, 0.1);
   const double seconds = GENERATE(12.0, 20.0, 40.0);
   const int seed = GENERATE(range(1, 11));
   CAPTURE(fault, seconds, seed);
-  const Played played =
-    Play({}, seconds, 300.0, fault, static_cast<std::uint64_t>(seed));
-  CHECK(played.state == Rollout::COMPLETED);
-  CHECK(played.ended < absl::Seconds(seconds));
+  const Outcome outcome =
+    Simulate({}, seconds, 300.0, fault, static_cast<std::uint64_t>(seed));
+  CHECK(outcome.state == Rollout::COMPLETED);
+  CHECK(outcome.endedAfter < absl::Seconds(seconds));
 }
 
-TEST_CASE("A bad version gets less than its share, and nothing 5 s after its "
-          "50th bad answer")
+TEST_CASE("A bad version gets at most a tenth of the requests plus 50, and "
+          "nothing 5 s after its 50th bad answer")
 {
-  const Conduct conduct = GENERATE(
-    Conduct{ 1.0 }, Conduct{ 0.25 }, Conduct{ 0.25, 0.0, 0.5 },
-    Conduct{ 0.5, 0.0, 0.85 }, Conduct{ 0.0, 1.0 }, Conduct{ 0.0, 0.4 },
-    Conduct{ 0.5, 0.0, 0.0, 1 }, Conduct{ 0.0, 0.6, 0.4, 2 });
+  const Faults faults =
+    GENERATE(Faults{ 1.0 }, Faults{ 0.25 }, Faults{ 0.25, 0.0, 0.5 },
+             Faults{ 0.5, 0.0, 0.85 }, Faults{ 0.0, 1.0 }, Faults{ 0.0, 0.4 },
+             Faults{ 0.5, 0.0, 0.0, 1 }, Faults{ 0.0, 0.6, 0.4, 2 });
   const double seconds = GENERATE(12.0, 40.0);
   const int seed = GENERATE(range(1, 11));
-  CAPTURE(conduct.failing, conduct.slower, conduct.from, conduct.route,
-          seconds, seed);
-  const Played played =
-    Play(conduct, seconds, 300.0, 0.0, static_cast<std::uint64_t>(seed));
-  CHECK(played.target <= ExposureShare * played.all + ExposureSlack);
-  CHECK(played.lastSent <= played.fiftieth + absl::Seconds(5));
-  CHECK(played.state == Rollout::ROLLED_BACK);
+  CAPTURE(faults.failing, faults.slower, faults.from, faults.route, seconds,
+          seed);
+  const Outcome outcome =
+    Simulate(faults, seconds, 300.0, 0.0, static_cast<std::uint64_t>(seed));
+  CHECK(outcome.target <= ExposureFraction * outcome.all + ExposureSlack);
+  CHECK(outcome.lastSent <= outcome.fiftiethBad + absl::Seconds(5));
+  CHECK(outcome.state == Rollout::ROLLED_BACK);
 }
 
-TEST_CASE("A version that nobody calls is not completed")
+TEST_CASE("A version with too few answers is not completed")
 {
-  const Played played = Play({}, 12.0, 5.0, 0.0, 1);
-  CHECK(played.state == Rollout::ROLLED_BACK);
+  const Outcome outcome = Simulate({}, 12.0, 5.0, 0.0, 1);
+  CHECK(outcome.state == Rollout::ROLLED_BACK);
 }
 
-TEST_CASE("A leader that begins in the midst goes on from the order's time")
+TEST_CASE("A new leader continues from the replicated time of the order")
 {
   wg::VersionRollouts rollouts;
   wg::TakeVersionOrder(rollouts, MakeOrder("v2", 0));
@@ -273,11 +274,11 @@
       wg::TakeVersionMove(rollouts, move);
     }
   }
-  // No evidence: it is taken back, and by the deadline but for a second.
+  // Without evidence, it is rolled back within a second of the deadline.
   CHECK(wg::FindVersionRollout(rollouts, "svc").state == Rollout::ROLLED_BACK);
 }
 
-TEST_CASE("As a version's share grows, requests that went to it stay there")
+TEST_CASE("As a version's permille grows, requests that went to it stay there")
 {
   wg::VersionRollout rollout;
   rollout.number = 7;
