--- a/Source/Decision/wgRollout.cxx
+++ b/Source/Decision/wgRollout.cxx
@@ -7,10 +7,10 @@
 namespace wg {
 namespace {
 
-/** An earlier leader's order is on its way no longer than this: it was given
- * under a lease that has ended, and its call ends after a second.
+/** After this, no order of an earlier leader can arrive: its lease has ended,
+ * and a call times out after a second.
  */
-constexpr absl::Duration EarlierOrdersEnd = absl::Seconds(3);
+constexpr absl::Duration EarlierOrderTimeout = absl::Seconds(3);
 
 bool IsUpdated(const RolloutConfig& rollout, const ReplicaView& replica)
 {
@@ -40,7 +40,7 @@
   }
   const bool isOrdered = watch.orderedVersion == rollout.version;
   const bool waits =
-    !current.ready || now - watch.orderedAt < timing.orderAgain;
+    !current.ready || now - watch.orderedAt < timing.orderRetryPeriod;
   if (isOrdered && waits) {
     return { RolloutMove::Wait, RolloutState::Loading, current.name };
   }
@@ -49,7 +49,7 @@
   return { RolloutMove::Order, RolloutState::Loading, current.name };
 }
 
-/** The next to update: one that serves nothing, else the first by name. */
+/** Chooses an endpoint that doesn't serve, else the first one in the list. */
 const ReplicaView* ChooseNext(const RolloutConfig& rollout,
                               absl::Span<const ReplicaView> replicas)
 {
@@ -97,7 +97,7 @@
 bool MayOrder(const OrderRight& right, bool checksFence, Elapsed now)
 {
   const bool earlierEnded =
-    checksFence || now - right.leadSince >= EarlierOrdersEnd;
+    checksFence || now - right.leadSince >= EarlierOrderTimeout;
   return now < right.leaseEnd && earlierEnded;
 }
 
--- a/Source/Decision/wgRollout.h
+++ b/Source/Decision/wgRollout.h
@@ -10,43 +10,44 @@
 
 namespace wg {
 
-/** \brief What an endpoint said of itself when it was last asked. */
+/** \brief The state that an endpoint last reported. */
 struct ReplicaView
 {
   std::string name;
   bool drained = false; // by the configuration
-  bool answers = false;
-  bool ready = false;   // would serve a request now
-  bool leaving = false; // by its own word
+  bool answers = false; // the last state request
+  bool ready = false;   // can serve a request now
+  bool leaving = false; // as it announced
   std::string version;
-  int busy = 0; // stages that run or wait there
+  int busy = 0; // number of stages that run or wait there
 };
 
-/** \brief What this leader has done with the current endpoint so far. */
+/** \brief The steps of this leader with the current endpoint so far. */
 struct RolloutWatch
 {
   std::string endpoint;
   Elapsed drainedAt = -absl::InfiniteDuration();
   Elapsed orderedAt = -absl::InfiniteDuration();
-  std::string orderedVersion; // empty: none by this leader
+  std::string orderedVersion; // empty: this leader gave no order
 };
 
-/** \brief How long the steps of a roll-out wait. */
+/** \brief The waits between the steps of a roll-out. */
 struct RolloutTiming
 {
-  absl::Duration settle = absl::Seconds(2); // until every entry has let go
-  absl::Duration orderAgain = absl::Seconds(5);
+  absl::Duration settle =
+    absl::Seconds(2); // until all entries route around it
+  absl::Duration orderRetryPeriod = absl::Seconds(5);
 };
 
 enum class RolloutMove
 {
   Wait,
-  Begin, // take the endpoint out of service
+  Begin, // drain the endpoint
   Order, // order it to load the version
-  End    // give it back
+  End    // return it to service
 };
 
-/** \brief Why a roll-out is where it is, for operators. */
+/** \brief The progress of a roll-out, for operators. */
 enum class RolloutState
 {
   Done,
@@ -54,11 +55,10 @@
   Draining,
   Loading,
   Ending,
-  TooFewReady, // one more out of service would leave too few
-  NoneAnswers  // what is left to update does not answer
+  TooFewReady, // draining one more would leave too few
+  NoneAnswers  // no endpoint left to update answers
 };
 
-/** \brief The next move of a roll-out, and where it stands. */
 struct RolloutStep
 {
   RolloutMove move = RolloutMove::Wait;
@@ -66,38 +66,36 @@
   std::string endpoint;
 };
 
-/** \brief Decides the next move from what the endpoints say now.
+/** \brief Decides the next move from the reported states.
  *
- * One endpoint at a time is out of service for it. Those that serve nothing
- * come first, since updating them costs nothing (after Grove's rolling
- * update; docs/design/rollout.md gives the measurement). One that does not
- * come up in the new version holds the roll-out: nothing else is touched.
+ * One endpoint at a time is drained. Endpoints that don't serve come first,
+ * since their update costs no capacity (after Grove's rolling update;
+ * docs/design/rollout.md gives the measurement). An endpoint that does not
+ * become ready in the new version stops the roll-out.
  */
 RolloutStep NextRolloutStep(const RolloutConfig& rollout,
                             absl::Span<const ReplicaView> replicas,
                             RolloutWatch& watch, const RolloutTiming& timing,
                             Elapsed now);
 
-/** \brief What a leader knows of its own right to give orders. */
+/** \brief The period in which a leader may give orders. */
 struct OrderRight
 {
   Elapsed leadSince;
   Elapsed leaseEnd = -absl::InfiniteDuration();
 };
 
-/** \brief Whether an endpoint may be given an order now: under the lease only;
- * and where it does not check fences, only when no earlier leader's order can
- * still be on its way.
+/** \brief Whether a leader may order an endpoint now: only under its lease
+ * and, if the endpoint does not check fences, only when no order of an earlier
+ * leader can still arrive.
  */
 bool MayOrder(const OrderRight& right, bool checksFence, Elapsed now);
 
-/** \brief Whether it would serve a request now. */
 bool IsServing(const ReplicaView& replica);
 
-/** \brief How many would serve a request now. */
 int CountServing(absl::Span<const ReplicaView> replicas);
 
-/** \brief How many run the roll-out's version and are ready. */
+/** \brief Counts ready endpoints that run the roll-out's version. */
 int CountUpdated(const RolloutConfig& rollout,
                  absl::Span<const ReplicaView> replicas);
 
--- a/Tests/Decision/wgRolloutFleet.cxx
+++ b/Tests/Decision/wgRolloutFleet.cxx
@@ -10,16 +10,15 @@
 
 constexpr double TickSeconds = 0.2;
 
-/** One engine: it drains, loads, and is ready again. */
 struct Engine
 {
   ReplicaView view;
   double idleAt = 0.0;
-  double loadedAt = -1.0; // below 0: loads nothing
+  double loadedAt = -1.0; // below 0: not loading
 };
 
 /** \class Fleet
- * \brief The engines, the roll-out's state and the clock.
+ * \brief The engines, the state of the roll-out and the clock.
  */
 class Fleet
 {
@@ -36,8 +35,8 @@
       engine.view.drained = i >= settings.replicas - settings.notServing;
       engines_.push_back(engine);
     }
-    served_ = CountServing(Views());
-    least_ = served_;
+    servingAtFirst_ = CountServing(Views());
+    minServing_ = servingAtFirst_;
   }
 
   FleetResult Run(FleetPolicy policy)
@@ -48,10 +47,10 @@
       for (Engine& engine : engines_) {
         Progress(engine);
       }
-      least_ = std::min(least_, CountServing(Views()));
+      minServing_ = std::min(minServing_, CountServing(Views()));
     }
-    const int lost = std::max(0, served_ - CountServing(Views()));
-    return { IsDone(), now_, least_, lost };
+    const int lost = std::max(0, servingAtFirst_ - CountServing(Views()));
+    return { IsDone(), now_, minServing_, lost };
   }
 
 private:
@@ -123,20 +122,20 @@
     }
   }
 
-  /** The others to be updated look as if they had been. */
+  /** Presents all but the first engine to update as updated. */
   void KeepFirstToUpdate(std::vector<ReplicaView>& views) const
   {
     bool first = true;
     for (ReplicaView& view : views) {
-      const bool waits = view.version != rollout_.version;
-      if (waits && !first) {
+      const bool isOutdated = view.version != rollout_.version;
+      if (isOutdated && !first) {
         view.version = rollout_.version;
       }
-      first = first && !waits;
+      first = first && !isOutdated;
     }
   }
 
-  /** Drains and loads so many at once, and waits for all of them. */
+  /** Updates a batch at once and isOutdated until all of it is ready. */
   void DecideBatch()
   {
     const bool allReady = std::all_of(
@@ -164,9 +163,9 @@
   void StartBatch()
   {
     for (Engine& engine : engines_) {
-      const bool takes = engine.view.version != rollout_.version &&
-                         static_cast<int>(loading_.size()) < settings_.batch;
-      if (takes) {
+      const bool isNext = engine.view.version != rollout_.version &&
+                          static_cast<int>(loading_.size()) < settings_.batch;
+      if (isNext) {
         loading_.push_back(engine.view.name);
         Drain(engine);
       }
@@ -177,10 +176,10 @@
   RolloutConfig rollout_;
   RolloutWatch watch_;
   std::vector<Engine> engines_;
-  std::vector<std::string> loading_; // of the batch
+  std::vector<std::string> loading_; // engines of the batch
   double now_ = 0.0;
-  int served_ = 0;
-  int least_ = 0;
+  int servingAtFirst_ = 0;
+  int minServing_ = 0;
 };
 
 } // namespace
--- a/Tests/Decision/wgRolloutFleet.h
+++ b/Tests/Decision/wgRolloutFleet.h
@@ -8,19 +8,19 @@
 
 namespace wg::test {
 
-/** \brief Who decides what is updated next. */
+/** \brief How the next endpoint to update is chosen. */
 enum class FleetPolicy
 {
   OneByOne, // NextRolloutStep
-  ByName,   // baseline: one by one, in the order of names
-  Batches   // baseline: so many at once, in the order of names
+  ByName,   // baseline: one by one, by name
+  Batches   // baseline: FleetSettings::batch at once, by name
 };
 
 /** \brief A group of engines in virtual time; times in seconds. */
 struct FleetSettings
 {
   int replicas = 18;
-  int notServing = 0; // the last ones, until they are updated
+  int notServing = 0; // the last ones by name, until their update
   int minReady = 0;
   int batch = 3;
   double drainSeconds = 4.0;
@@ -29,13 +29,12 @@
   double limitSeconds = 4000.0;
 };
 
-/** \brief What came of it. */
 struct FleetResult
 {
   bool finished = false;
   double seconds = 0.0;
-  int leastServing = 0;
-  int lost = 0; // served before, and do not at the end
+  int minServing = 0;
+  int lost = 0; // engines that served at first and not at the end
 };
 
 FleetResult RunFleet(FleetPolicy policy, const FleetSettings& settings);
--- a/Tests/Decision/wgRolloutTable.cxx
+++ b/Tests/Decision/wgRolloutTable.cxx
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// Measures ways to roll a version out, in virtual time.
+// Compares policies of rolling out a version, in virtual time.
 #include <cstdio>
 
 #include "wgRolloutFleet.h"
@@ -16,7 +16,7 @@
   const FleetResult result = wg::test::RunFleet(policy, settings);
   std::printf("  %-22s %-9s %7.0f %14d %6d\n", name,
               result.finished ? "finished" : "held", result.seconds,
-              result.leastServing, result.lost);
+              result.minServing, result.lost);
 }
 
 void PrintTable(const char* title, const FleetSettings& settings)
--- a/Tests/Decision/wgRolloutTest.cxx
+++ b/Tests/Decision/wgRolloutTest.cxx
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// Roll-outs: the next move, and whole ones in virtual time.
+// Single moves of a roll-out, and whole roll-outs in virtual time.
 #include <catch2/catch.hpp>
 
 #include "absl/strings/str_cat.h"
@@ -43,7 +43,7 @@
 
 } // namespace
 
-TEST_CASE("what serves nothing is updated first")
+TEST_CASE("an endpoint that does not serve is updated first")
 {
   ReplicaView drained = Serving("c", "v1");
   drained.drained = true;
@@ -53,17 +53,18 @@
   CHECK(step.endpoint == "c");
 }
 
-TEST_CASE("a roll-out never leaves fewer ready than was asked")
+TEST_CASE("a roll-out never leaves fewer endpoints ready than the minimum")
 {
-  ReplicaView silent = Serving("c", "v1");
-  silent.answers = false;
-  const RolloutStep step =
-    Next(ToVersion2(2), { Serving("a", "v1"), Serving("b", "v1"), silent });
+  ReplicaView unresponsive = Serving("c", "v1");
+  unresponsive.answers = false;
+  const RolloutStep step = Next(
+    ToVersion2(2), { Serving("a", "v1"), Serving("b", "v1"), unresponsive });
   CHECK(step.move == RolloutMove::Wait);
   CHECK(step.state == RolloutState::TooFewReady);
 }
 
-TEST_CASE("an order waits until the endpoint is let go and idle")
+TEST_CASE(
+  "an order waits until entries route around the endpoint and it is idle")
 {
   ReplicaView current = Serving("a", "v1");
   current.drained = true;
@@ -75,7 +76,7 @@
         RolloutState::Draining);
 }
 
-TEST_CASE("an order is given again only after a while")
+TEST_CASE("an order is repeated only after its retry period")
 {
   ReplicaView current = Serving("a", "v1");
   current.drained = true;
@@ -93,7 +94,7 @@
   CHECK(moveAt(8.1) == RolloutMove::Order);
 }
 
-TEST_CASE("an engine that hangs in a version is ordered to another")
+TEST_CASE("an engine that hangs in a version is ordered to load another")
 {
   ReplicaView current = Serving("a", "v1");
   current.drained = true;
@@ -113,7 +114,7 @@
   CHECK(moveAt(602.0) == RolloutMove::Wait);
 }
 
-TEST_CASE("an endpoint is given back once it is ready in the new version")
+TEST_CASE("an endpoint returns to service once it is ready in the new version")
 {
   ReplicaView current = Serving("a", "v2");
   current.drained = true;
@@ -123,7 +124,7 @@
   CHECK(Next(ToVersion2(0, "a"), { current }).move == RolloutMove::End);
 }
 
-TEST_CASE("a roll-out whose endpoints run the version is done")
+TEST_CASE("a roll-out whose endpoints all run the version is done")
 {
   const RolloutStep step =
     Next(ToVersion2(1), { Serving("a", "v2"), Serving("b", "v2") });
@@ -131,8 +132,9 @@
   CHECK(step.state == RolloutState::Done);
 }
 
-TEST_CASE("orders are given under a lease, and where fences are not checked "
-          "only when no earlier leader's can come")
+TEST_CASE(
+  "orders need a lease, and without fence checks a wait until no order "
+  "of an earlier leader can arrive")
 {
   const wg::OrderRight right{ absl::Seconds(10), absl::Seconds(20) };
   CHECK(wg::MayOrder(right, true, absl::Seconds(10)));
@@ -143,12 +145,13 @@
   CHECK_FALSE(wg::MayOrder({}, true, absl::Seconds(1)));
 }
 
-TEST_CASE("whole roll-outs: never too few, and a bad version stops at one")
+TEST_CASE(
+  "whole roll-outs drain one endpoint at a time and stop at a bad version")
 {
   FleetSettings settings;
   const FleetResult good = RunFleet(FleetPolicy::OneByOne, settings);
   CHECK(good.finished);
-  CHECK(good.leastServing == settings.replicas - 1);
+  CHECK(good.minServing == settings.replicas - 1);
   settings.loadFails = true;
   const FleetResult bad = RunFleet(FleetPolicy::OneByOne, settings);
   CHECK_FALSE(bad.finished);
@@ -156,7 +159,8 @@
   CHECK(RunFleet(FleetPolicy::Batches, settings).lost == settings.batch);
 }
 
-TEST_CASE("what serves nothing does not hold a roll-out that keeps the rest")
+TEST_CASE(
+  "a roll-out can keep all serving endpoints ready if another one is idle")
 {
   FleetSettings settings;
   settings.notServing = 1;
