--- a/Source/Decision/wgChainAdmission.cxx
+++ b/Source/Decision/wgChainAdmission.cxx
@@ -8,8 +8,8 @@
 namespace wg {
 namespace {
 
-/** Of the latency answerBy and of the deadline: calls take up to a tenth
- * longer than expected without any fault.
+/** Of the latency target and of the deadline: calls take up to a tenth longer
+ * than expected without any fault.
  */
 constexpr double UsedFraction = 0.9;
 constexpr double EstimateFraction = 0.5;
--- a/Source/Decision/wgChainAdmission.h
+++ b/Source/Decision/wgChainAdmission.h
@@ -11,7 +11,7 @@
 
 namespace wg {
 
-/** \brief The start time of a stage that has none. */
+/** \brief A start time that can't be met or is not needed. */
 constexpr absl::Duration NoStart = absl::Milliseconds(-1);
 
 /** \brief When a stage's call may start, from now on. */
--- a/Source/Decision/wgCrashEvidence.h
+++ b/Source/Decision/wgCrashEvidence.h
@@ -28,10 +28,9 @@
 /** \brief The evidence of one crash against one request. */
 struct CrashRecord
 {
-  Elapsed noted;           // when any box first noted it, by this clock
-  bool outweighed = false; // the request was answered, or the start is live
-  std::uint64_t revision =
-    0; // of the evidence, at the last change of this record
+  Elapsed noted;              // when any box first noted it, by this clock
+  bool outweighed = false;    // the request was answered, or the start is live
+  std::uint64_t revision = 0; // of the evidence, at the last change
 };
 
 /** \brief How crashes are counted, and how long they are kept. */
--- a/Source/Decision/wgRollout.h
+++ b/Source/Decision/wgRollout.h
@@ -15,7 +15,7 @@
 {
   std::string name;
   bool drained = false; // by the configuration
-  bool answers = false; // the last state request
+  bool answers = false; // it responded to the last query
   bool ready = false;   // can serve a request now
   bool leaving = false; // as it announced
   std::string version;
@@ -34,8 +34,7 @@
 /** \brief The waits between the steps of a roll-out. */
 struct RolloutTiming
 {
-  absl::Duration settle =
-    absl::Seconds(2); // until all entries route around it
+  absl::Duration settle = absl::Seconds(2); // until no entry routes to it
   absl::Duration orderRetryPeriod = absl::Seconds(5);
 };
 
@@ -56,7 +55,7 @@
   Loading,
   Ending,
   TooFewReady, // draining one more would leave too few
-  NoneAnswers  // no endpoint left to update answers
+  NoneAnswers  // no endpoint left to update responds
 };
 
 struct RolloutStep
--- a/Source/Decision/wgVersionRollout.h
+++ b/Source/Decision/wgVersionRollout.h
@@ -46,9 +46,9 @@
   Refused    // invalid service, version or duration, or too many services
 };
 
-/** \brief The requests that a version gets from its order on: together with
- * FinalFraction less than the tenth of all requests that a bad version may
- * get.
+/** \brief The part of the requests that a version gets from its order on.
+ * Together with FinalFraction, it is less than the tenth of all requests that
+ * a bad version may get.
  */
 constexpr std::uint32_t FirstPermille = 40;
 constexpr std::uint32_t AllPermille = 1000;
--- a/Tests/Decision/wgResultRoomTest.cxx
+++ b/Tests/Decision/wgResultRoomTest.cxx
@@ -16,8 +16,8 @@
 constexpr wg::Elapsed Start = absl::Seconds(50);
 constexpr absl::Duration Expected = absl::Milliseconds(400);
 
-InputVerdict Judge(int waiting, const std::vector<InputUse>& calls,
-                   absl::Duration after)
+InputVerdict Evaluate(int waiting, const std::vector<InputUse>& calls,
+                      absl::Duration after)
 {
   return JudgeInputs(waiting, calls, wg::NeverLost, Start + after);
 }
@@ -34,15 +34,15 @@
   /** \return number of pieces whose results fit the buffer */
   int Execute(int pieces)
   {
-    const int made = std::clamp(capacity - unknown - own, 0, pieces);
-    own += made;
-    return made;
+    const int executed = std::clamp(capacity - unknown - own, 0, pieces);
+    own += executed;
+    return executed;
   }
 };
 
 struct Totals
 {
-  int made = 0;
+  int executed = 0;
   int refused = 0;
 };
 
@@ -73,22 +73,22 @@
   constexpr int batch = 60;
   constexpr int callsUntilRelease = 4;
   Totals totals;
-  std::vector<int> made;
+  std::vector<int> executed;
   wg::RoomEvidence evidence;
   for (wg::Elapsed now = Start; now < Start + absl::Seconds(3); now += call) {
-    const auto calls = static_cast<int>(made.size());
+    const auto calls = static_cast<int>(executed.size());
     if (calls >= callsUntilRelease) {
       endpoint.own -=
-        made[static_cast<std::size_t>(calls - callsUntilRelease)];
+        executed[static_cast<std::size_t>(calls - callsUntilRelease)];
     }
     endpoint.unknown = std::max(0, endpoint.unknown - 10);
     const std::int64_t limit = LimitOf(rule, endpoint, evidence, now);
     const auto pieces = static_cast<int>(
       std::clamp<std::int64_t>(limit - endpoint.own, 0, batch));
     const std::int64_t recorded = endpoint.own + pieces;
-    made.push_back(endpoint.Execute(pieces));
-    const int refused = pieces - made.back();
-    totals.made += made.back();
+    executed.push_back(endpoint.Execute(pieces));
+    const int refused = pieces - executed.back();
+    totals.executed += executed.back();
     totals.refused += refused;
     if (refused > 0) {
       evidence = wg::EvidenceOf({ recorded, recorded, refused, refused, 1 },
@@ -107,10 +107,10 @@
     { Start, Expected }, { Start + absl::Milliseconds(150), Expected }
   };
   const auto half = absl::Milliseconds(350); // of the later call
-  CHECK(Judge(0, calls, half - absl::Milliseconds(1)) ==
+  CHECK(Evaluate(0, calls, half - absl::Milliseconds(1)) ==
         InputVerdict::TooEarly);
-  CHECK(Judge(0, calls, half) == InputVerdict::Release);
-  CHECK(Judge(1, calls, half) == InputVerdict::TooEarly);
+  CHECK(Evaluate(0, calls, half) == InputVerdict::Release);
+  CHECK(Evaluate(1, calls, half) == InputVerdict::TooEarly);
 }
 
 TEST_CASE("Inputs of a call that takes longer than expected are kept")
@@ -119,15 +119,16 @@
   const std::vector<InputUse> calls{
     { Start, Expected }, { Start - absl::Milliseconds(150), Expected }
   };
-  CHECK(Judge(0, calls, absl::Milliseconds(250)) == InputVerdict::Release);
-  CHECK(Judge(0, calls, absl::Milliseconds(251)) == InputVerdict::CallOverdue);
+  CHECK(Evaluate(0, calls, absl::Milliseconds(250)) == InputVerdict::Release);
+  CHECK(Evaluate(0, calls, absl::Milliseconds(251)) ==
+        InputVerdict::CallOverdue);
 }
 
 TEST_CASE("Inputs are kept where a full buffer may refuse results")
 {
   // A refused piece is executed again and needs its inputs.
   const std::vector<InputUse> calls{ { Start, Expected, true } };
-  CHECK(Judge(0, calls, Expected / 2) == InputVerdict::RoomShort);
+  CHECK(Evaluate(0, calls, Expected / 2) == InputVerdict::RoomShort);
 }
 
 TEST_CASE("Inputs are kept for a time after released inputs were missed")
@@ -190,9 +191,9 @@
   const Endpoint endpoint{ 138, 100, 0 };
   const Totals before = Fill(endpoint, Rule::Counted);
   const Totals after = Fill(endpoint, Rule::Bound);
-  CAPTURE(before.made, before.refused, after.made, after.refused);
+  CAPTURE(before.executed, before.refused, after.executed, after.refused);
   CHECK(4 * after.refused < before.refused);
-  CHECK(4 * after.made >= 3 * before.made);
+  CHECK(4 * after.executed >= 3 * before.executed);
 }
 
 // Failure: inputs are released early while buffers have space, and each piece
--- a/Tests/Decision/wgRolloutTest.cxx
+++ b/Tests/Decision/wgRolloutTest.cxx
@@ -64,7 +64,7 @@
 }
 
 TEST_CASE(
-  "an order waits until entries route around the endpoint and it is idle")
+  "an order waits until no entry routes to the endpoint and it is idle")
 {
   ReplicaView current = Serving("a", "v1");
   current.drained = true;
