--- a/Source/Agreement/wgElection.cxx
+++ b/Source/Agreement/wgElection.cxx
@@ -28,7 +28,7 @@
 bool MayCampaign(const Replica& r)
 {
   return IsVoter(r.voters, r.self.id()) ||
-         (r.knowsMoreThanCandidate && r.voters.voters_size() > 0);
+         (r.hasNewerLogThanCandidate && r.voters.voters_size() > 0);
 }
 
 std::set<std::uint64_t> OwnVote(const Replica& r)
@@ -113,7 +113,7 @@
                   (r.hard.vote() == 0 || r.hard.vote() == m.from());
   const bool isUpToDate = IsLogUpToDate(r, m);
   const bool granted = freeToVote && isUpToDate;
-  r.knowsMoreThanCandidate = !isUpToDate;
+  r.hasNewerLogThanCandidate = !isUpToDate;
   if (granted && !isPreVote) {
     r.hard.set_vote(m.from());
     r.actions.saveHardState = true;
--- a/Source/Agreement/wgRepair.cxx
+++ b/Source/Agreement/wgRepair.cxx
@@ -111,8 +111,8 @@
 }
 
 /** Returns the voter that a box without one may replace, or null: the one that
- * an operator declared lost, or one unresponsive for spareAfter. It may still
- * be running, and stays until the other is a voter.
+ * an operator declared lost, or one unresponsive for standbyAfter. It may
+ * still be running, and stays until the other is a voter.
  */
 const wire::Voter* FindReplaceable(const Replica& leader,
                                    const std::string& standby,
@@ -125,7 +125,7 @@
   }
   return standby == rules.replacement.lost
            ? nullptr
-           : FindUnresponsive(leader, rules.spareAfter, now);
+           : FindUnresponsive(leader, rules.standbyAfter, now);
 }
 
 /** Of the replicas of one box only the one with the newest request can be
@@ -137,7 +137,7 @@
   return std::none_of(joining.begin(), joining.end(),
                       [&joiner](const JoiningReplica& other) {
                         return other.who.box() == joiner.who.box() &&
-                               other.lastAsked > joiner.lastAsked;
+                               other.lastRequest > joiner.lastRequest;
                       });
 }
 
@@ -150,11 +150,11 @@
     const std::uint64_t id = joiner.who.id();
     const bool isNew = !IsVoter(leader.voters, id) &&
                        !IsLearner(leader.voters, id) &&
-                       now - joiner.lastAsked < JoinRequestLifetime &&
+                       now - joiner.lastRequest < JoinRequestLifetime &&
                        HasNewestRequestOfBox(joining, joiner);
     const bool hasPlace =
       static_cast<std::size_t>(leader.voters.voters_size()) < rules.wanted ||
-      (rules.spareLearns && joiner.who.box() != rules.replacement.lost) ||
+      (rules.standbysLearn && joiner.who.box() != rules.replacement.lost) ||
       FindOlderOnBox(leader, joiner.who) != nullptr ||
       FindReplaceable(leader, joiner.who.box(), rules, now) != nullptr;
     if (!isNew || !hasPlace) {
@@ -217,9 +217,9 @@
                                                 Elapsed now)
 {
   const wire::Voter* unresponsive =
-    rules.spareLearns ? FindUnresponsiveOf(leader, leader.voters.learners(),
-                                           rules.spareAfter, now)
-                      : nullptr;
+    rules.standbysLearn ? FindUnresponsiveOf(leader, leader.voters.learners(),
+                                             rules.standbyAfter, now)
+                        : nullptr;
   if (unresponsive == nullptr) {
     return std::nullopt;
   }
@@ -241,7 +241,7 @@
   }
   const wire::Voter* excess = FindOnBox(voters, rules.replacement.lost);
   if (excess == nullptr || excess->id() == leader.self.id()) {
-    excess = FindUnresponsive(leader, rules.spareAfter, now);
+    excess = FindUnresponsive(leader, rules.standbyAfter, now);
   }
   if (excess == nullptr) {
     const wire::Voter& newest = voters[voters.size() - 1];
@@ -255,7 +255,7 @@
 
 } // namespace
 
-bool ShouldAskToJoin(const Replica& replica)
+bool ShouldRequestJoin(const Replica& replica)
 {
   return !IsVoter(replica.voters, replica.self.id()) || replica.leader == 0;
 }
--- a/Source/Agreement/wgRepair.h
+++ b/Source/Agreement/wgRepair.h
@@ -13,7 +13,7 @@
 struct JoiningReplica
 {
   wire::Voter who;
-  Elapsed lastAsked;
+  Elapsed lastRequest;
 };
 
 /** \brief An operator's order to replace a lost box by another. */
@@ -28,27 +28,27 @@
 {
   std::size_t wanted = 3; // target number of voters
   /** A voter unresponsive for this long is replaced by a joining box. */
-  absl::Duration spareAfter = absl::InfiniteDuration();
+  absl::Duration standbyAfter = absl::InfiniteDuration();
   BoxReplacement replacement;
   /** Boxes beyond the wanted voters join as learners, so that they hold the
    * replicated state too.
    */
-  bool spareLearns = false;
+  bool standbysLearn = false;
 };
 
 /** \brief Returns whether a replica should request to join: it is no voter, or
  * it has no leader and may have been replaced without knowing.
  */
-bool ShouldAskToJoin(const Replica& replica);
+bool ShouldRequestJoin(const Replica& replica);
 
 /** \brief Returns the next voter set, a single change away from the current
  * one.
  *
  * A replica joins as a learner, catches up, and only then replaces the older
  * replica on its box, that on the box named by an operator, or a voter that
- * has been unresponsive for spareAfter. With spareLearns, a learner that has
- * been unresponsive for as long is removed. Returns nothing while a change is
- * uncommitted or if too few voters would respond after it.
+ * has been unresponsive for standbyAfter. With standbysLearn, a learner that
+ * has been unresponsive for as long is removed. Returns nothing while a change
+ * is uncommitted or if too few voters would respond after it.
  */
 std::optional<wire::VoterSet> NextRepairStep(
   const Replica& leader, absl::Span<const JoiningReplica> joining,
--- a/Source/Agreement/wgReplica.cxx
+++ b/Source/Agreement/wgReplica.cxx
@@ -80,7 +80,7 @@
   r.noVoteBefore = now + r.timing.minElection;
 }
 
-std::uint64_t BytesSentAgain(const Replica& r)
+std::uint64_t RetransmittedBytes(const Replica& r)
 {
   std::uint64_t bytes = 0;
   for (const auto& [id, peer] : r.peers) {
@@ -89,7 +89,7 @@
   return bytes;
 }
 
-void FoundCluster(Replica& r, Elapsed now)
+void BootstrapCluster(Replica& r, Elapsed now)
 {
   r.hard.set_term(1);
   r.actions.saveHardState = true;
@@ -150,7 +150,7 @@
   }
 }
 
-void OnNotDelivered(Replica& r, std::uint64_t to, std::int64_t sentUs)
+void OnDeliveryFailed(Replica& r, std::uint64_t to, std::int64_t sentUs)
 {
   if (r.role == ReplicaRole::Leader) {
     HandleDeliveryFailure(r, to, sentUs);
@@ -204,7 +204,7 @@
   return next <= r.commit && r.log.Has(next) ? &r.log.At(next) : nullptr;
 }
 
-void Applied(Replica& r, std::uint64_t index)
+void MarkApplied(Replica& r, std::uint64_t index)
 {
   r.applied = index;
 }
@@ -235,7 +235,7 @@
     return -absl::InfiniteDuration();
   }
   return QuorumAckedSendTime(r, now) +
-         r.timing.minElection * r.timing.leaseShare;
+         r.timing.minElection * r.timing.leaseFraction;
 }
 
 bool HoldsLease(const Replica& r, Elapsed now)
@@ -243,7 +243,7 @@
   return now < LeaseEnd(r, now);
 }
 
-ReplicaActions TakeActions(Replica& r)
+ReplicaActions ExtractActions(Replica& r)
 {
   ReplicaActions actions = std::move(r.actions);
   r.actions = {};
--- a/Source/Agreement/wgReplica.h
+++ b/Source/Agreement/wgReplica.h
@@ -32,7 +32,7 @@
   absl::Duration commitSaveDelay = absl::Milliseconds(250);
   /** Lease duration as a fraction of minElection; the rest covers clock drift.
    */
-  double leaseShare = 0.8;
+  double leaseFraction = 0.8;
 };
 
 enum class ReplicaRole
@@ -64,7 +64,7 @@
   /** Minimum timeout of the call, so that a large message can complete over a
    * slow link.
    */
-  absl::Duration patience = absl::ZeroDuration();
+  absl::Duration minTimeout = absl::ZeroDuration();
 };
 
 /** \brief Work that the caller must do after a step, in this order: install
@@ -117,7 +117,7 @@
    */
   Elapsed noVoteBefore;
   /** Whether the candidate of the last vote request had an older log. */
-  bool knowsMoreThanCandidate = false;
+  bool hasNewerLogThanCandidate = false;
   /** Pre-vote request that came too early; answered from noVoteBefore on. */
   std::optional<wire::AgreementMessage> deferredPreVote;
   std::set<std::uint64_t> grants;
@@ -126,13 +126,13 @@
 };
 
 /** \brief Returns the bytes of log entries retransmitted to current peers. */
-std::uint64_t BytesSentAgain(const Replica& replica);
+std::uint64_t RetransmittedBytes(const Replica& replica);
 
 /** \brief Initializes the volatile state from the loaded persistent state. */
 void StartReplica(Replica& replica, Elapsed now, absl::BitGenRef random);
 
 /** \brief Bootstraps a new cluster with this replica as its only voter. */
-void FoundCluster(Replica& replica, Elapsed now);
+void BootstrapCluster(Replica& replica, Elapsed now);
 
 void OnTick(Replica& replica, Elapsed now, absl::BitGenRef random);
 void OnMessage(Replica& replica, const wire::AgreementMessage& message,
@@ -141,7 +141,7 @@
 /** \brief Handles the failed delivery of entries or of a snapshot.
  * \param sentUs  sent_us of the message
  */
-void OnNotDelivered(Replica& replica, std::uint64_t to, std::int64_t sentUs);
+void OnDeliveryFailed(Replica& replica, std::uint64_t to, std::int64_t sentUs);
 
 /** \brief Records that all requested writes are durable. */
 void OnSynced(Replica& replica);
@@ -159,11 +159,11 @@
                                            const wire::VoterSet& voters,
                                            Elapsed now);
 
-/** \brief Returns the next entry to apply, or null. Call Applied after
+/** \brief Returns the next entry to apply, or null. Call MarkApplied after
  * applying it.
  */
 const wire::LogEntry* NextCommitted(const Replica& replica);
-void Applied(Replica& replica, std::uint64_t index);
+void MarkApplied(Replica& replica, std::uint64_t index);
 
 /** \brief Replaces the snapshot by `state`, which is that at the applied
  * index, and drops all but the last `retain` entries up to it.
@@ -186,6 +186,6 @@
 /** \brief Returns and clears the pending actions; if they need a sync, they
  * also save the commit index.
  */
-ReplicaActions TakeActions(Replica& replica);
+ReplicaActions ExtractActions(Replica& replica);
 
 } // namespace wg
--- a/Source/Agreement/wgReplicaDetail.cxx
+++ b/Source/Agreement/wgReplicaDetail.cxx
@@ -102,7 +102,7 @@
   r.leader = leader;
   r.grants.clear();
   if (leader != 0) {
-    r.knowsMoreThanCandidate = false;
+    r.hasNewerLogThanCandidate = false;
   }
 }
 
--- a/Source/Agreement/wgReplication.cxx
+++ b/Source/Agreement/wgReplication.cxx
@@ -25,7 +25,7 @@
   InFlight& inFlight = r.peers[message.to()].inFlight;
   NoteSent(inFlight, bytes, last, now);
   Send(r, std::move(message), false);
-  r.actions.messages.back().patience = AckTimeout(inFlight);
+  r.actions.messages.back().minTimeout = AckTimeout(inFlight);
 }
 
 void SendSnapshot(Replica& r, std::uint64_t to, Elapsed now)
--- a/Source/Control/wgBeatsAfterEnd.cxx
+++ b/Source/Control/wgBeatsAfterEnd.cxx
@@ -19,7 +19,7 @@
     return false;
   }
   const std::string id = IdentityOf(StartOf(heartbeat));
-  if (!IsTakenToHaveEnded(evidence, id)) {
+  if (!IsPresumedEnded(evidence, id)) {
     beats.first.erase(id);
     return false;
   }
@@ -28,7 +28,7 @@
     return false;
   }
   beats.first.erase(first);
-  return NoteLives(evidence, id);
+  return NoteLive(evidence, id);
 }
 
 } // namespace wg
--- a/Source/Control/wgControlNode.cxx
+++ b/Source/Control/wgControlNode.cxx
@@ -129,7 +129,7 @@
   keptCrashes_ = crashes_.revision;
   wire::RememberedEndpoints known = RememberEndpoints(registry_);
   for (const auto& [key, record] : crashes_.records) {
-    *known.add_crashes() = TellCrash(key, record, now);
+    *known.add_crashes() = MakeCrashMessage(key, record, now);
   }
   endpointFile_->Keep(std::move(known), absl::Now());
 }
@@ -346,7 +346,7 @@
                [this](CrashesCall& call) { OnCrashes(call); },
                [this](JoinAnswer& answer) { OnJoinAnswer(answer); },
                [this](const NotDeliveredMail& mail) {
-                 OnNotDelivered(replica_, mail.to, mail.sentUs);
+                 OnDeliveryFailed(replica_, mail.to, mail.sentUs);
                },
                [this](ChunkCall& call) {
                  call.respond(ReadChunk(packed_, state_.document, call.request)
@@ -367,13 +367,13 @@
     return;
   }
   replica_.cluster = MakeChangeId();
-  if (auto saved = store_->SetCluster(replica_); !Succeeded(saved)) {
+  if (auto saved = store_->SaveIdentity(replica_); !Succeeded(saved)) {
     replica_.cluster.clear();
     request.respond(
       PrintChangeResult(wire::ChangeResult::REJECTED, Message(saved), ""));
     return;
   }
-  FoundCluster(replica_, ElapsedNow());
+  BootstrapCluster(replica_, ElapsedNow());
   LogChange("cluster", "founded");
   request.respond(PrintChangeResult(wire::ChangeResult::ACCEPTED, "", ""));
 }
--- a/Source/Control/wgControlNode.h
+++ b/Source/Control/wgControlNode.h
@@ -50,7 +50,7 @@
   KeyRing keys;                      // PeerName's must be there
   std::vector<std::string> controls; // addresses of all control boxes
   std::size_t wantedVoters = 3;
-  absl::Duration spareAfter = absl::Seconds(60); // infinite: never
+  absl::Duration standbyAfter = absl::Seconds(60); // infinite: never
   std::uint64_t compactAfter = 2000; // applied entries between snapshots
   /** The first of `controls` founds the cluster if its folder is fresh. */
   bool foundAtStart = false;
--- a/Source/Control/wgControlNodeDocuments.cxx
+++ b/Source/Control/wgControlNodeDocuments.cxx
@@ -82,7 +82,7 @@
     toldHalls_.push_back(controlHalls_[address]);
   }
   controlsDigest_ = absl::HashOf(toldControls_, toldHalls_) | 1U;
-  if (toldControls_.size() > MostFollowedWhole) {
+  if (toldControls_.size() > MaxFollowedByAll) {
     exchange_->Follow(toldControls_);
     NoteUnheardHalls();
   }
@@ -147,7 +147,7 @@
   }
   const Elapsed now = ElapsedNow();
   for (const auto& [id, joiner] : joining_) {
-    if (now - joiner.lastAsked < JoinerMemory) {
+    if (now - joiner.lastRequest < JoinerMemory) {
       known.insert(joiner.who.address());
     }
   }
--- a/Source/Control/wgControlNodeReplica.cxx
+++ b/Source/Control/wgControlNodeReplica.cxx
@@ -60,7 +60,7 @@
     return;
   }
   replica_.cluster = answer.reply.cluster();
-  if (auto saved = store_->SetCluster(replica_); !Succeeded(saved)) {
+  if (auto saved = store_->SaveIdentity(replica_); !Succeeded(saved)) {
     replica_.cluster.clear();
     LogChange("storage", Message(saved));
     return;
@@ -96,7 +96,7 @@
 
 void ControlNode::TickReplica()
 {
-  if (ShouldAskToJoin(replica_)) {
+  if (ShouldRequestJoin(replica_)) {
     AskToJoin();
   }
   if (replica_.cluster.empty() || writeFailed_) {
@@ -118,11 +118,11 @@
   const Elapsed now = ElapsedNow();
   RepairRules rules;
   rules.wanted = settings_.wantedVoters;
-  rules.spareAfter = settings_.spareAfter;
+  rules.standbyAfter = settings_.standbyAfter;
   rules.replacement = { state_.replacement.lost(),
                         state_.replacement.spare() };
   // Each box follows a few of the control boxes, which may all be spares.
-  rules.spareLearns = KnownControls().size() > MostFollowedWhole;
+  rules.standbysLearn = KnownControls().size() > MaxFollowedByAll;
   const auto step = NextRepairStep(replica_, joining, rules, now);
   if (step && ProposeVoters(replica_, *step, now)) {
     LogChange("voters",
@@ -135,7 +135,7 @@
 void ControlNode::CarryOutActions()
 {
   if (!writeFailed_) {
-    pending_ = TakeActions(replica_);
+    pending_ = ExtractActions(replica_);
   }
   SendMessages(false);
   if (!WritePending()) {
@@ -187,8 +187,8 @@
     outgoing.message.set_knows(
       static_cast<std::uint32_t>(settings_.changeLevel));
     Batch& batch = batches[address];
-    batch.timeout = std::max(batch.timeout, outgoing.patience);
-    if (outgoing.patience > absl::ZeroDuration()) {
+    batch.timeout = std::max(batch.timeout, outgoing.minTimeout);
+    if (outgoing.minTimeout > absl::ZeroDuration()) {
       batch.bulk = { outgoing.message.to(), outgoing.message.sent_us() };
     }
     *batch.messages.add_messages() = std::move(outgoing.message);
@@ -266,7 +266,7 @@
                  LeaderAddress()));
     }
     bytesSinceSnapshot_ += entry->change().size();
-    Applied(replica_, entry->index());
+    MarkApplied(replica_, entry->index());
   }
   if (replica_.role != ReplicaRole::Leader && !waiters_.empty()) {
     FailWaiters();
@@ -311,7 +311,7 @@
 void ControlNode::NoteResends()
 {
   const Elapsed now = ElapsedNow();
-  const std::uint64_t bytes = BytesSentAgain(replica_);
+  const std::uint64_t bytes = RetransmittedBytes(replica_);
   if (bytes == loggedSentAgain_ || now < nextResendLine_) {
     return;
   }
--- a/Source/Control/wgControlStatus.cxx
+++ b/Source/Control/wgControlStatus.cxx
@@ -44,7 +44,7 @@
            { "term", replica.hard.term() },
            { "last_index", replica.log.LastIndex() },
            { "commit", replica.commit },
-           { "sent_again_bytes", BytesSentAgain(replica) },
+           { "sent_again_bytes", RetransmittedBytes(replica) },
            { "lease", HoldsLease(replica, now) },
            { "voters", DescribeVoters(replica.voters.voters()) },
            { "learners", DescribeVoters(replica.voters.learners()) } };
--- a/Source/Control/wgFollowers.cxx
+++ b/Source/Control/wgFollowers.cxx
@@ -38,7 +38,7 @@
 std::uint32_t TakeShare(Followers& followers, std::uint32_t known,
                         std::uint32_t told)
 {
-  if (IsSoundShare(told)) {
+  if (IsValidCpuShare(told)) {
     return told;
   }
   followers.unsoundShares += told == 0 ? 0 : 1;
--- a/Source/Control/wgRolloutRunner.h
+++ b/Source/Control/wgRolloutRunner.h
@@ -23,7 +23,7 @@
 struct RolloutDuty
 {
   std::shared_ptr<const Config> config; // null: this box does not lead
-  OrderRight right;
+  OrderAuthority right;
 };
 
 /** \class RolloutRunner
@@ -61,8 +61,8 @@
   RolloutDuty Duty();
 
   Propose propose_;
-  std::map<std::string, RolloutWatch> watches_; // by group
-  std::map<std::string, RolloutState> logged_;  // by group
+  std::map<std::string, RolloutProgress> watches_; // by group
+  std::map<std::string, RolloutState> logged_;     // by group
   absl::Mutex mutex_;
   bool stopping_ ABSL_GUARDED_BY(mutex_) = false;
   RolloutDuty duty_ ABSL_GUARDED_BY(mutex_);
--- a/Source/Control/wgServiceState.cxx
+++ b/Source/Control/wgServiceState.cxx
@@ -192,15 +192,15 @@
                    absl::StrCat("There is no hall \"", order.hall(),
                                 "\"; \"show config\" lists them."));
   }
-  switch (TakeHallOrder(state.halls, order)) {
-    case HallOrderTaken::Holds:
+  switch (ApplyHallOrder(state.halls, order)) {
+    case HallOrderResult::Holds:
       return Accepted(state.config.revision);
-    case HallOrderTaken::Overtaken:
+    case HallOrderResult::Superseded:
       return Refused(state.config.revision,
                      absl::StrCat("Another order on hall ", order.hall(),
                                   " came first; look at it and send this one "
                                   "again."));
-    case HallOrderTaken::Refused:
+    case HallOrderResult::Refused:
       break;
   }
   return Refused(state.config.revision,
@@ -211,22 +211,22 @@
 Result ApplyOrderVersion(ServiceState& state, const wire::OrderVersion& order)
 {
   const std::uint64_t revision = state.config.revision;
-  switch (TakeVersionOrder(state.rollouts, order)) {
-    case VersionOrderTaken::Taken:
+  switch (ApplyVersionOrder(state.rollouts, order)) {
+    case VersionOrderResult::Applied:
       return Accepted(revision);
-    case VersionOrderTaken::UnderWay: {
+    case VersionOrderResult::InProgress: {
       Result result = Refused(
         revision, absl::StrCat("A roll-out of service ", order.service(),
                                " is in progress; wait until it has ended."));
       result.set_under_way(true);
       return result;
     }
-    case VersionOrderTaken::Overtaken:
+    case VersionOrderResult::Superseded:
       return Refused(
         revision, absl::StrCat("Another roll-out of service ", order.service(),
                                " came first; look at it and send this one "
                                "again."));
-    case VersionOrderTaken::Refused:
+    case VersionOrderResult::Refused:
       break;
   }
   return Refused(revision, "The order names no service, version or duration, "
@@ -235,7 +235,7 @@
 
 Result ApplyMoveVersion(ServiceState& state, const wire::MoveVersion& move)
 {
-  TakeVersionMove(state.rollouts, move);
+  ApplyVersionMove(state.rollouts, move);
   return Accepted(state.config.revision);
 }
 
--- a/Source/Control/wgVersionConductor.cxx
+++ b/Source/Control/wgVersionConductor.cxx
@@ -112,7 +112,7 @@
     const absl::Duration elapsed =
       std::max(rollout.elapsed, watch.before + (now - watch.began));
     const VersionVerdict verdict =
-      JudgeVersion(SumByRoute(conductor, rollout.number));
+      EvaluateVersion(SumByRoute(conductor, rollout.number));
     wire::MoveVersion move = DecideVersion(service, rollout, verdict, elapsed);
     const bool isChange =
       move.state() != rollout.state || move.permille() != rollout.permille;
--- a/Source/Decision/wgAccountShares.cxx
+++ b/Source/Decision/wgAccountShares.cxx
@@ -212,9 +212,9 @@
            : UsedMs(found->second, shares.step, StepOf(now));
 }
 
-AccountStandings JudgeAccounts(const AccountShares& shares,
-                               const AccountDemands& demands,
-                               absl::Duration wait, Elapsed now)
+AccountStandings EvaluateAccounts(const AccountShares& shares,
+                                  const AccountDemands& demands,
+                                  absl::Duration wait, Elapsed now)
 {
   AccountStandings standings;
   if (wait <= ContendedWait) {
@@ -239,14 +239,13 @@
   return standings;
 }
 
-bool UsesOnlyLeftovers(const AccountStandings& standings,
-                       absl::string_view account)
+bool IsOverShare(const AccountStandings& standings, absl::string_view account)
 {
   return !standings.exceeded.empty() && standings.exceeded.contains(account);
 }
 
-std::vector<std::string> MostExceeding(const AccountStandings& standings,
-                                       std::size_t maxCount)
+std::vector<std::string> FurthestOverShare(const AccountStandings& standings,
+                                           std::size_t maxCount)
 {
   std::vector<std::pair<double, std::string>> accounts;
   for (const auto& [name, exceeded] : standings.exceeded) {
--- a/Source/Decision/wgAccountShares.h
+++ b/Source/Decision/wgAccountShares.h
@@ -104,22 +104,21 @@
  * \param demands waiting work, by account
  * \param wait how long new work would wait in the pool
  */
-AccountStandings JudgeAccounts(const AccountShares& shares,
-                               const AccountDemands& demands,
-                               absl::Duration wait, Elapsed now);
+AccountStandings EvaluateAccounts(const AccountShares& shares,
+                                  const AccountDemands& demands,
+                                  absl::Duration wait, Elapsed now);
 
 /** \brief Returns whether an account exceeds its share. Its work then uses
  * only capacity that others leave unused: waiting work is ordered behind that
  * of other accounts of the same rank, and new work is admitted only if it
  * delays none of theirs.
  */
-bool UsesOnlyLeftovers(const AccountStandings& standings,
-                       absl::string_view account);
+bool IsOverShare(const AccountStandings& standings, absl::string_view account);
 
 /** \brief Returns the accounts furthest above their shares, furthest first.
  * \param maxCount maximum number of accounts returned
  */
-std::vector<std::string> MostExceeding(const AccountStandings& standings,
-                                       std::size_t maxCount);
+std::vector<std::string> FurthestOverShare(const AccountStandings& standings,
+                                           std::size_t maxCount);
 
 } // namespace wg
--- a/Source/Decision/wgAdmission.cxx
+++ b/Source/Decision/wgAdmission.cxx
@@ -15,10 +15,10 @@
 /** Fraction of the largest spread of a stage that is added as a margin. */
 constexpr double SpreadMargin = 0.3;
 
-double LargestSpread(absl::Span<const StageOutlook> stages)
+double LargestSpread(absl::Span<const StageEstimate> stages)
 {
   double largest = 0.0;
-  for (const StageOutlook& stage : stages) {
+  for (const StageEstimate& stage : stages) {
     largest = std::max(largest, stage.spreadSeconds);
   }
   return largest;
@@ -26,10 +26,10 @@
 
 } // namespace
 
-double ExpectedRequestSeconds(absl::Span<const StageOutlook> stages)
+double ExpectedRequestSeconds(absl::Span<const StageEstimate> stages)
 {
   double at = 0.0;
-  for (const StageOutlook& stage : stages) {
+  for (const StageEstimate& stage : stages) {
     const double slots = std::max(stage.slots, 0.1);
     const double drainSeconds = stage.ahead * stage.serviceSeconds / slots;
     // The stages ahead are served while the request passes its earlier
@@ -40,22 +40,22 @@
   return at;
 }
 
-double ServiceSeconds(absl::Span<const StageOutlook> stages)
+double ServiceSeconds(absl::Span<const StageEstimate> stages)
 {
   double sum = 0.0;
-  for (const StageOutlook& stage : stages) {
+  for (const StageEstimate& stage : stages) {
     sum += stage.serviceSeconds;
   }
   return sum;
 }
 
-Admission AdmitByDeadline(absl::Span<const StageOutlook> stages,
+Admission AdmitByDeadline(absl::Span<const StageEstimate> stages,
                           absl::Duration timeLeft, absl::BitGenRef random)
 {
-  for (const StageOutlook& stage : stages) {
+  for (const StageEstimate& stage : stages) {
     if (!stage.anyEndpoint) {
       return { Reason::NoEndpoint,
-               SpreadRetryAfter(NoEndpointRetryAfter, random), 0.0 };
+               JitteredRetryAfter(NoEndpointRetryAfter, random), 0.0 };
     }
   }
   const double finish =
@@ -64,7 +64,7 @@
   if (over <= absl::ZeroDuration()) {
     return { Reason::None, absl::ZeroDuration(), finish };
   }
-  return { Reason::DeadlineUnreachable, SpreadRetryAfter(over, random),
+  return { Reason::DeadlineUnreachable, JitteredRetryAfter(over, random),
            finish };
 }
 
@@ -74,7 +74,7 @@
   const int running = use.running + limits.runningElsewhere;
   if (limits.concurrency > 0 && running >= limits.concurrency) {
     return { Reason::AccountConcurrency,
-             SpreadRetryAfter(MinRetryAfter, random), 0.0 };
+             JitteredRetryAfter(MinRetryAfter, random), 0.0 };
   }
   if (limits.ratePerSecond > 0) {
     const double rate = limits.ratePerSecond / std::max(1, limits.boxes);
@@ -83,10 +83,10 @@
     use.tokens = std::min(cap, use.tokens + gained);
     use.lastRefill = now;
     if (use.tokens < 1.0) {
-      return {
-        Reason::AccountRate,
-        SpreadRetryAfter(absl::Seconds((1.0 - use.tokens) / rate), random), 0.0
-      };
+      return { Reason::AccountRate,
+               JitteredRetryAfter(absl::Seconds((1.0 - use.tokens) / rate),
+                                  random),
+               0.0 };
     }
     use.tokens -= 1.0;
   }
@@ -94,7 +94,8 @@
   return {};
 }
 
-absl::Duration SpreadRetryAfter(absl::Duration minimum, absl::BitGenRef random)
+absl::Duration JitteredRetryAfter(absl::Duration minimum,
+                                  absl::BitGenRef random)
 {
   const absl::Duration base = std::max(minimum, MinRetryAfter);
   return base + base * absl::Uniform(random, 0.0, 1.0);
--- a/Source/Decision/wgAdmission.h
+++ b/Source/Decision/wgAdmission.h
@@ -12,7 +12,7 @@
 namespace wg {
 
 /** \brief Estimates for a new request at one of its stages. */
-struct StageOutlook
+struct StageEstimate
 {
   double serviceSeconds = 0.0; // expected service time of one stage
   double spreadSeconds = 0.0;  // mean absolute deviation of the service time
@@ -52,13 +52,13 @@
 };
 
 /** \brief Returns the expected time to the complete answer, in seconds. */
-double ExpectedRequestSeconds(absl::Span<const StageOutlook> stages);
+double ExpectedRequestSeconds(absl::Span<const StageEstimate> stages);
 
 /** \brief Returns the sum of the service times, without waits, in seconds. */
-double ServiceSeconds(absl::Span<const StageOutlook> stages);
+double ServiceSeconds(absl::Span<const StageEstimate> stages);
 
 /** \brief Admits a request if it is expected to finish by its deadline. */
-Admission AdmitByDeadline(absl::Span<const StageOutlook> stages,
+Admission AdmitByDeadline(absl::Span<const StageEstimate> stages,
                           absl::Duration timeLeft, absl::BitGenRef random);
 
 /** \brief Admits a request if its account is within its limits, and counts it
@@ -70,7 +70,7 @@
 /** \brief Returns a retry delay with random jitter, so that callers do not
  * retry at the same time: one to two times the minimum.
  */
-absl::Duration SpreadRetryAfter(absl::Duration minimum,
-                                absl::BitGenRef random);
+absl::Duration JitteredRetryAfter(absl::Duration minimum,
+                                  absl::BitGenRef random);
 
 } // namespace wg
--- a/Source/Decision/wgAttempts.cxx
+++ b/Source/Decision/wgAttempts.cxx
@@ -45,11 +45,11 @@
   }
 }
 
-AnswerVerdict JudgeAnswer(RequestAttempts& attempts, const AttemptId& id)
+AnswerVerdict ClassifyAnswer(RequestAttempts& attempts, const AttemptId& id)
 {
   AttemptState* state = FindAttempt(attempts, id);
   if (state == nullptr) {
-    return AnswerVerdict::Foreign;
+    return AnswerVerdict::Mismatched;
   }
   StageAttempts& stage = attempts.stages[static_cast<std::size_t>(id.stage)];
   if (stage.answered) {
@@ -78,7 +78,7 @@
 
 bool MayRetry(const RetryQuery& query)
 {
-  if (!query.timeLeft || query.triesMade >= query.maxTries) {
+  if (!query.timeLeft || query.attemptsMade >= query.maxAttempts) {
     return false;
   }
   return query.repeatable || query.end == AttemptEnd::Unreached;
--- a/Source/Decision/wgAttempts.h
+++ b/Source/Decision/wgAttempts.h
@@ -50,7 +50,7 @@
   Accept,
   Late,      // its attempt was abandoned
   Duplicate, // its stage is already answered
-  Foreign    // of another request, or of an attempt that was never made
+  Mismatched // of another request, or of an attempt that was never made
 };
 
 /** \brief Opens the next attempt at a stage. */
@@ -65,7 +65,7 @@
 /** \brief Classifies an answer and, if it is accepted, marks its stage as
  * answered.
  */
-AnswerVerdict JudgeAnswer(RequestAttempts& attempts, const AttemptId& id);
+AnswerVerdict ClassifyAnswer(RequestAttempts& attempts, const AttemptId& id);
 
 /** \brief Returns whether a failed request may have run, for its caller. */
 RunState RunStateOf(const RequestAttempts& attempts);
@@ -75,8 +75,8 @@
 {
   bool repeatable = true;
   AttemptEnd end = AttemptEnd::Failed;
-  int triesMade = 1;
-  int maxTries = 3;
+  int attemptsMade = 1;
+  int maxAttempts = 3;
   bool timeLeft = true;
 };
 
--- a/Source/Decision/wgChainAdmission.cxx
+++ b/Source/Decision/wgChainAdmission.cxx
@@ -63,7 +63,7 @@
 {
   const std::size_t count = plan.stages.size();
   const std::vector<double> earliest = EarliestStarts(plan, callSeconds);
-  std::vector<double> finish(count, answerBy - plan.readSeconds);
+  std::vector<double> finish(count, answerBy - plan.prefillSeconds);
   std::vector<double> starts(count, 0.0);
   for (std::size_t i = count; i-- > 0;) {
     const bool runs = plan.stages[i].ownSeconds > 0.0;
@@ -99,12 +99,12 @@
     starts = LatestStarts(plan, ownCalls, toTarget);
   }
   std::vector<double> lateStarts;
-  if (starts.empty() || limits.cameBack) {
+  if (starts.empty() || limits.isRetry) {
     lateStarts = LatestStarts(
       plan, ownCalls, UsedFraction * absl::ToDoubleSeconds(limits.deadline));
   }
   ChainWindows windows;
-  windows.isPossible = !starts.empty() || !lateStarts.empty();
+  windows.isFeasible = !starts.empty() || !lateStarts.empty();
   for (std::size_t i = 0; i < plan.stages.size(); ++i) {
     StageWindow window;
     window.runs = plan.stages[i].ownSeconds > 0.0;
@@ -117,11 +117,11 @@
   return windows;
 }
 
-ChainVerdict JudgeChain(const ChainWindows& windows,
-                        absl::Span<const PoolAnswer> answers)
+ChainVerdict EvaluateChain(const ChainWindows& windows,
+                           absl::Span<const PoolAnswer> answers)
 {
   ChainVerdict verdict;
-  verdict.admitted = windows.isPossible;
+  verdict.admitted = windows.isFeasible;
   for (std::size_t i = 0; i < windows.stages.size(); ++i) {
     if (!windows.stages[i].runs) {
       continue;
@@ -138,10 +138,11 @@
   return verdict;
 }
 
-PoolAnswer GuessAnswer(const StageWindow& window, absl::Duration reportedWait)
+PoolAnswer EstimateAnswer(const StageWindow& window,
+                          absl::Duration reportedWait)
 {
   PoolAnswer answer;
-  answer.isOwnGuess = true;
+  answer.isOwnEstimate = true;
   answer.clear = reportedWait;
   answer.retry = reportedWait;
   const auto canWait = [&](absl::Duration startBy) {
--- a/Source/Decision/wgChainAdmission.h
+++ b/Source/Decision/wgChainAdmission.h
@@ -29,14 +29,14 @@
   absl::Duration spent;    // since the caller first sent it
   absl::Duration aim;      // the latency target, since then
   absl::Duration deadline; // from now
-  bool cameBack = false;   // a retry after a refusal
+  bool isRetry = false;    // a retry after a refusal
 };
 
 /** \brief The start times of all stages of a request. */
 struct ChainWindows
 {
   /** Whether the request can meet its limits if it waits nowhere. */
-  bool isPossible = false;
+  bool isFeasible = false;
   std::vector<StageWindow> stages;
 };
 
@@ -57,7 +57,7 @@
 {
   bool granted = false;
   bool isLate = false; // granted behind all work that is in time
-  bool isOwnGuess = false;
+  bool isOwnEstimate = false;
   absl::Duration clear; // that such work would wait
   absl::Duration retry; // until there is capacity
 };
@@ -76,13 +76,14 @@
  * were refused after 1.7 s at the median when the second was full.
  * \param answers one for each stage; ignored for skipped stages
  */
-ChainVerdict JudgeChain(const ChainWindows& windows,
-                        absl::Span<const PoolAnswer> answers);
+ChainVerdict EvaluateChain(const ChainWindows& windows,
+                           absl::Span<const PoolAnswer> answers);
 
 /** \brief Estimates the answer of a coordinator that did not respond, from the
  * last reported wait of its pool. The work may use half of its time to wait,
  * as other boxes may have admitted to the same capacity since.
  */
-PoolAnswer GuessAnswer(const StageWindow& window, absl::Duration reportedWait);
+PoolAnswer EstimateAnswer(const StageWindow& window,
+                          absl::Duration reportedWait);
 
 } // namespace wg
--- a/Source/Decision/wgControlChoice.cxx
+++ b/Source/Decision/wgControlChoice.cxx
@@ -41,7 +41,7 @@
   absl::string_view hall)
 {
   std::vector<std::size_t> ranked = Rank(candidates, box);
-  if (ranked.size() <= MostFollowedWhole) {
+  if (ranked.size() <= MaxFollowedByAll) {
     return ranked;
   }
   std::vector<std::size_t> near;
@@ -51,10 +51,11 @@
       (candidates[i].hall == hall ? near : far).push_back(i);
     }
   }
-  std::size_t fromNear = std::min(near.size(), FollowedNear);
+  std::size_t fromNear = std::min(near.size(), FollowedInHall);
   const std::size_t fromFar =
-    std::min(far.size(), FollowedNear + FollowedFar - fromNear);
-  fromNear = std::min(near.size(), FollowedNear + FollowedFar - fromFar);
+    std::min(far.size(), FollowedInHall + FollowedElsewhere - fromNear);
+  fromNear =
+    std::min(near.size(), FollowedInHall + FollowedElsewhere - fromFar);
   std::vector<std::size_t> chosen(near.begin(), near.begin() + fromNear);
   chosen.insert(chosen.end(), far.begin(), far.begin() + fromFar);
   return chosen;
--- a/Source/Decision/wgControlChoice.h
+++ b/Source/Decision/wgControlChoice.h
@@ -13,18 +13,18 @@
 /** \brief Up to this number, each box follows all control boxes, which then do
  * not exchange updates about endpoints: any one that is left has them all.
  */
-constexpr std::size_t MostFollowedWhole = 6;
+constexpr std::size_t MaxFollowedByAll = 6;
 
 /** \brief With more control boxes, a box follows this number in its own hall.
  * It reaches them even if the hall is unreachable from others, and one remains
  * after a failure.
  */
-constexpr std::size_t FollowedNear = 2;
+constexpr std::size_t FollowedInHall = 2;
 
 /** \brief It also follows this number in other halls, for updates that the
  * control boxes of its own hall don't receive.
  */
-constexpr std::size_t FollowedFar = 1;
+constexpr std::size_t FollowedElsewhere = 1;
 
 /** \brief A control box that may be followed. */
 struct ControlCandidate
--- a/Source/Decision/wgCoordinatorChoice.cxx
+++ b/Source/Decision/wgCoordinatorChoice.cxx
@@ -27,8 +27,8 @@
 std::uint32_t ShareOf(const CoordinatorCandidate& candidate,
                       const ShareBounds& bounds)
 {
-  return IsSoundShare(candidate.cpuMilli) ? candidate.cpuMilli
-                                          : bounds.assumedShare;
+  return IsValidCpuShare(candidate.cpuMilli) ? candidate.cpuMilli
+                                             : bounds.assumedShare;
 }
 
 ShareBounds FindBounds(absl::Span<const CoordinatorCandidate> candidates)
@@ -36,7 +36,7 @@
   ShareBounds bounds;
   std::uint32_t smallest = MaxCpuMilli + 1;
   for (const CoordinatorCandidate& candidate : candidates) {
-    if (IsSoundShare(candidate.cpuMilli)) {
+    if (IsValidCpuShare(candidate.cpuMilli)) {
       smallest = std::min(smallest, candidate.cpuMilli);
     }
   }
@@ -93,12 +93,12 @@
 
 } // namespace
 
-bool IsSoundShare(std::uint32_t cpuMilli)
+bool IsValidCpuShare(std::uint32_t cpuMilli)
 {
   return cpuMilli > 0 && cpuMilli <= MaxCpuMilli;
 }
 
-std::uint32_t ReadCpuShare(absl::string_view text)
+std::uint32_t ParseCpuShare(absl::string_view text)
 {
   double cores = 0;
   const bool isNumber =
@@ -108,15 +108,15 @@
   return isValid ? static_cast<std::uint32_t>(milli) : 0;
 }
 
-std::size_t ChooseByShare(absl::Span<const CoordinatorCandidate> candidates)
+std::size_t ChooseByCpuShare(absl::Span<const CoordinatorCandidate> candidates)
 {
   const ShareBounds bounds = FindBounds(candidates);
   std::size_t best = 0;
   for (std::size_t i = 1; i < candidates.size(); ++i) {
     const CoordinatorCandidate& candidate = candidates[i];
-    const bool isBetter =
-      candidate.isAlive && (!candidates[best].isAlive ||
-                            IsPreferred(candidate, candidates[best], bounds));
+    const bool isBetter = candidate.isReachable &&
+                          (!candidates[best].isReachable ||
+                           IsPreferred(candidate, candidates[best], bounds));
     if (isBetter) {
       best = i;
     }
@@ -127,7 +127,7 @@
 std::uint32_t NoteShare(BoxShares& shares, const std::string& box,
                         std::uint32_t reported, Elapsed now)
 {
-  const std::uint32_t valid = IsSoundShare(reported) ? reported : 0;
+  const std::uint32_t valid = IsValidCpuShare(reported) ? reported : 0;
   auto found = shares.boxes.find(box);
   if (found == shares.boxes.end()) {
     if (shares.boxes.size() >= MaxBoxes) {
@@ -145,9 +145,9 @@
   return share.inEffect;
 }
 
-void SettleShares(BoxShares& shares, Elapsed now)
+void ApplyPendingShares(BoxShares& shares, Elapsed now)
 {
-  const bool isDue = HasUnsettled(shares) &&
+  const bool isDue = HasPendingShares(shares) &&
                      (now - shares.lastPendingChange >= ShareSettleTime ||
                       now - shares.firstPendingChange >= MaxShareSettleTime);
   if (!isDue) {
@@ -160,7 +160,7 @@
   shares.lastPendingChange = absl::InfiniteDuration();
 }
 
-bool HasUnsettled(const BoxShares& shares)
+bool HasPendingShares(const BoxShares& shares)
 {
   return shares.firstPendingChange != absl::InfiniteDuration();
 }
--- a/Source/Decision/wgCoordinatorChoice.h
+++ b/Source/Decision/wgCoordinatorChoice.h
@@ -27,12 +27,12 @@
  */
 constexpr absl::Duration MaxShareSettleTime = absl::Seconds(10);
 
-bool IsSoundShare(std::uint32_t cpuMilli);
+bool IsValidCpuShare(std::uint32_t cpuMilli);
 
 /** \brief Parses a CPU share in cores, such as "0.09".
  * \return thousandths of a core; 0 if invalid
  */
-std::uint32_t ReadCpuShare(absl::string_view text);
+std::uint32_t ParseCpuShare(absl::string_view text);
 
 /** \brief A box that may become a pool's coordinator, which makes the calls
  * to the pool's endpoints.
@@ -42,7 +42,7 @@
   std::uint64_t hash = 0;     // of box and pool
   std::uint32_t cpuMilli = 0; // thousandths of a core; 0: not reported
   bool isNear = true;         // in the pool's hall, or the pool has none
-  bool isAlive = true;        // not suspected, and its hall is reachable
+  bool isReachable = true;    // not suspected, and its hall is reachable
 };
 
 /** \brief Returns the index of the box that coordinates a pool.
@@ -61,7 +61,8 @@
  *
  * \param candidates at least one; if none is reachable, the result is 0
  */
-std::size_t ChooseByShare(absl::Span<const CoordinatorCandidate> candidates);
+std::size_t ChooseByCpuShare(
+  absl::Span<const CoordinatorCandidate> candidates);
 
 /** \brief The CPU shares that boxes have reported, and those in effect. */
 struct BoxShares
@@ -80,10 +81,10 @@
 /** \brief Records the CPU share that a list of boxes gives for a box.
  *
  * The share of a newly listed box takes effect at once, because the box itself
- * is new to the choice. A later change is pending until SettleShares(): when
- * the first control box of a newer version starts, shares become known one
- * after another and must change the choice only once. A missing share leaves
- * the previous one, as control boxes of older versions list none.
+ * is new to the choice. A later change is pending until ApplyPendingShares():
+ * when the first control box of a newer version starts, shares become known
+ * one after another and must change the choice only once. A missing share
+ * leaves the previous one, as control boxes of older versions list none.
  *
  * \param reported thousandths of a core; 0: none
  * \return the share in effect, in thousandths of a core; 0: none
@@ -92,8 +93,8 @@
                         std::uint32_t reported, Elapsed now);
 
 /** \brief Puts pending shares into effect if they have waited long enough. */
-void SettleShares(BoxShares& shares, Elapsed now);
+void ApplyPendingShares(BoxShares& shares, Elapsed now);
 
-bool HasUnsettled(const BoxShares& shares);
+bool HasPendingShares(const BoxShares& shares);
 
 } // namespace wg
--- a/Source/Decision/wgCrashEvidence.cxx
+++ b/Source/Decision/wgCrashEvidence.cxx
@@ -165,8 +165,7 @@
   return isChanged;
 }
 
-bool IsTakenToHaveEnded(const CrashEvidence& evidence,
-                        absl::string_view endpoint)
+bool IsPresumedEnded(const CrashEvidence& evidence, absl::string_view endpoint)
 {
   const auto& records = evidence.records;
   return std::any_of(records.begin(), records.end(), [&](const auto& pair) {
@@ -174,7 +173,7 @@
   });
 }
 
-bool NoteLives(CrashEvidence& evidence, absl::string_view endpoint)
+bool NoteLive(CrashEvidence& evidence, absl::string_view endpoint)
 {
   bool isChanged = false;
   for (auto& [key, record] : evidence.records) {
@@ -224,8 +223,8 @@
   }
 }
 
-wire::Crash TellCrash(const CrashKey& key, const CrashRecord& record,
-                      Elapsed now)
+wire::Crash MakeCrashMessage(const CrashKey& key, const CrashRecord& record,
+                             Elapsed now)
 {
   wire::Crash crash;
   crash.set_request(key.request);
@@ -244,7 +243,7 @@
   std::vector<wire::Crash> changes;
   for (const auto& [key, record] : evidence.records) {
     if (record.revision > revision) {
-      changes.push_back(TellCrash(key, record, now));
+      changes.push_back(MakeCrashMessage(key, record, now));
     }
   }
   std::sort(changes.begin(), changes.end(),
--- a/Source/Decision/wgCrashEvidence.h
+++ b/Source/Decision/wgCrashEvidence.h
@@ -79,14 +79,14 @@
 bool NoteAnswered(CrashEvidence& evidence, absl::string_view request);
 
 /** \brief Whether the end of this start counts against any request. */
-bool IsTakenToHaveEnded(const CrashEvidence& evidence,
-                        absl::string_view endpoint);
+bool IsPresumedEnded(const CrashEvidence& evidence,
+                     absl::string_view endpoint);
 
 /** \brief Records that the start is live: it was unreachable, and resets of
  * connections to it looked like its end.
  * \return whether the evidence changed
  */
-bool NoteLives(CrashEvidence& evidence, absl::string_view endpoint);
+bool NoteLive(CrashEvidence& evidence, absl::string_view endpoint);
 
 /** \brief Whether crashes count against the request. */
 bool IsSuspect(const CrashEvidence& evidence, absl::string_view request);
@@ -95,8 +95,8 @@
 /** \brief Removes expired records. To be called at most once a second. */
 void ExpireCrashes(CrashEvidence& evidence, Elapsed now);
 
-wire::Crash TellCrash(const CrashKey& key, const CrashRecord& record,
-                      Elapsed now);
+wire::Crash MakeCrashMessage(const CrashKey& key, const CrashRecord& record,
+                             Elapsed now);
 
 /** \brief Returns the records changed after a revision, oldest change first.
  */
--- a/Source/Decision/wgDispatch.cxx
+++ b/Source/Decision/wgDispatch.cxx
@@ -7,11 +7,11 @@
 namespace wg {
 namespace {
 
-bool HasFreeSlot(const GroupState& group, PlaceRule rule)
+bool HasFreeSlot(const GroupState& group, SlotRule rule)
 {
   return std::any_of(group.endpoints.begin(), group.endpoints.end(),
                      [rule](const EndpointState& endpoint) {
-                       return HasPlace(endpoint, rule);
+                       return IsSlotFree(endpoint, rule);
                      });
 }
 
@@ -107,11 +107,11 @@
 {
   DispatchRound round;
   StartProbes(absl::MakeSpan(group.endpoints), now);
-  round.hopeless = TakeHopeless(
+  round.infeasible = ExtractInfeasible(
     group.queue, now, ExpectedSeconds(group.service, group.priorSeconds));
-  RemoveQueries(group, round.hopeless);
-  while (HasFreeSlot(group, PlaceRule::Any)) {
-    const bool sharedSlotFree = HasFreeSlot(group, PlaceRule::Shared);
+  RemoveQueries(group, round.infeasible);
+  while (HasFreeSlot(group, SlotRule::Any)) {
+    const bool sharedSlotFree = HasFreeSlot(group, SlotRule::Shared);
     std::optional<WaitingStage> stage =
       PopNext(group.queue, [&group, sharedSlotFree](const std::string& account,
                                                     int running) {
@@ -123,8 +123,8 @@
     RouteQuery query = group.queries[stage->ticket];
     group.queries.erase(stage->ticket);
     query.now = now;
-    query.rule = group.quota.contended && sharedSlotFree ? PlaceRule::Shared
-                                                         : PlaceRule::Any;
+    query.rule = group.quota.contended && sharedSlotFree ? SlotRule::Shared
+                                                         : SlotRule::Any;
     std::optional<RouteDecision> route =
       ChooseEndpoint(group.policy, group.endpoints, query, group.prefixes,
                      group.roundRobin, random);
@@ -149,7 +149,7 @@
                         end, seconds, now);
 }
 
-double CountPlaces(const GroupState& group)
+double CountSlots(const GroupState& group)
 {
   double slots = 0.0;
   for (const EndpointState& endpoint : group.endpoints) {
@@ -161,7 +161,7 @@
 void SetQuota(GroupState& group, const std::string& self,
               absl::Span<const ShareDemand> demands)
 {
-  const double slots = CountPlaces(group);
+  const double slots = CountSlots(group);
   const SlotDivision division = DivideSlots(slots, demands);
   GroupQuota quota;
   quota.known = true;
--- a/Source/Decision/wgDispatch.h
+++ b/Source/Decision/wgDispatch.h
@@ -27,7 +27,7 @@
 {
   std::vector<Grant> grants;
   /** Stages that can no longer meet their deadlines, to be refused at once. */
-  std::vector<WaitingStage> hopeless;
+  std::vector<WaitingStage> infeasible;
 };
 
 /** \brief Slots and demand of one account in a group, over all entry boxes. */
@@ -92,7 +92,7 @@
             double seconds, Elapsed now);
 
 /** \brief Returns the number of slots of all endpoints that take new work. */
-double CountPlaces(const GroupState& group);
+double CountSlots(const GroupState& group);
 
 /** \brief Divides the group's slots between accounts and entry boxes.
  * \param self name of this box in the demands
--- a/Source/Decision/wgEndpointLoad.cxx
+++ b/Source/Decision/wgEndpointLoad.cxx
@@ -12,8 +12,8 @@
 
 } // namespace
 
-void TakeLoad(KnownLoad& known, const EndpointLoadReport& report,
-              absl::string_view start, Elapsed now)
+void ApplyLoadReport(KnownLoad& known, const EndpointLoadReport& report,
+                     absl::string_view start, Elapsed now)
 {
   known.unreadable += report.isUnreadable ? 1 : 0;
   if (report.load) {
@@ -23,8 +23,8 @@
   }
 }
 
-const EndpointLoad* LoadNow(const KnownLoad& known, absl::string_view start,
-                            Elapsed now)
+const EndpointLoad* FreshLoad(const KnownLoad& known, absl::string_view start,
+                              Elapsed now)
 {
   const bool isUsable = known.load && known.load->start == start &&
                         known.load->reported <= now &&
--- a/Source/Decision/wgEndpointLoad.h
+++ b/Source/Decision/wgEndpointLoad.h
@@ -47,14 +47,14 @@
 /** \brief Applies the report of an answer that arrived now. If it is missing
  * or unreadable, the previous one stays and continues to age.
  */
-void TakeLoad(KnownLoad& known, const EndpointLoadReport& report,
-              absl::string_view start, Elapsed now);
+void ApplyLoadReport(KnownLoad& known, const EndpointLoadReport& report,
+                     absl::string_view start, Elapsed now);
 
 /** \brief Returns the load that this start reported within ReportMemory, or
  * null.
  */
-const EndpointLoad* LoadNow(const KnownLoad& known, absl::string_view start,
-                            Elapsed now);
+const EndpointLoad* FreshLoad(const KnownLoad& known, absl::string_view start,
+                              Elapsed now);
 
 /** \brief Whether an endpoint's load reports are trusted. */
 struct ReportTrust
--- a/Source/Decision/wgEndpointSpeed.cxx
+++ b/Source/Decision/wgEndpointSpeed.cxx
@@ -96,7 +96,7 @@
 /** If most peers are slow too, the service has more work than estimated and no
  * single endpoint is at fault.
  */
-bool MayBeJudged(const EndpointSpeed& speed, const PeerSpeeds& peers)
+bool CanShowFault(const EndpointSpeed& speed, const PeerSpeeds& peers)
 {
   const bool isComparable =
     Confidence(speed) >= KnownConfidence || peers.known >= 2;
@@ -104,7 +104,7 @@
   return isComparable && !areMostSlow;
 }
 
-SpeedChange JudgeSound(EndpointSpeed& speed, double excess, Elapsed now)
+SpeedChange EvaluateRecovery(EndpointSpeed& speed, double excess, Elapsed now)
 {
   speed.probed = now;
   speed.consecutiveHealthy =
@@ -117,15 +117,15 @@
   return SpeedChange::Healthy;
 }
 
-SpeedChange JudgeFaulty(EndpointSpeed& speed, const PeerSpeeds& peers,
-                        double excess, double minExcess, Elapsed now)
+SpeedChange EvaluateFault(EndpointSpeed& speed, const PeerSpeeds& peers,
+                          double excess, double minExcess, Elapsed now)
 {
   if (minExcess >= FaultFactor) {
     ++speed.consecutiveSlow;
   } else if (excess < FaultFactor) {
     speed.consecutiveSlow = 0;
   }
-  if (speed.consecutiveSlow < FaultSamples || !MayBeJudged(speed, peers)) {
+  if (speed.consecutiveSlow < FaultSamples || !CanShowFault(speed, peers)) {
     return SpeedChange::None;
   }
   speed.isFaulty = true;
@@ -165,18 +165,18 @@
 SpeedChange NoteSpeed(EndpointSpeed& speed, const PeerSpeeds& peers,
                       const SpeedSample& sample, Elapsed now)
 {
-  if (std::isnan(sample.factor) || std::isnan(sample.leastFactor)) {
+  if (std::isnan(sample.factor) || std::isnan(sample.minFactor)) {
     return SpeedChange::None;
   }
   const double factor = std::clamp(sample.factor, MinFactor, MaxFactor);
-  const double least = std::clamp(sample.leastFactor, MinFactor, factor);
+  const double least = std::clamp(sample.minFactor, MinFactor, factor);
   const double lasting = LastingLog(speed, peers);
   const double excessLog = std::log(factor) - lasting;
   const double excess = std::exp(excessLog);
   const SpeedChange change =
     speed.isFaulty
-      ? JudgeSound(speed, excess, now)
-      : JudgeFaulty(speed, peers, excess, least / std::exp(lasting), now);
+      ? EvaluateRecovery(speed, excess, now)
+      : EvaluateFault(speed, peers, excess, least / std::exp(lasting), now);
   // Samples of a fault must not change the lasting mean, the reference for it.
   if (!speed.isFaulty && change == SpeedChange::None) {
     NoteLasting(speed, peers, std::log(factor), now);
@@ -186,7 +186,7 @@
   return change;
 }
 
-void NoteNoSample(EndpointSpeed& speed, Elapsed now)
+void NoteWorkWithoutSample(EndpointSpeed& speed, Elapsed now)
 {
   if (speed.isFaulty) {
     speed.probed = now;
@@ -194,8 +194,8 @@
   }
 }
 
-SlowdownEstimate LastingSpeed(const EndpointSpeed& speed,
-                              const PeerSpeeds& peers)
+SlowdownEstimate LastingSlowdown(const EndpointSpeed& speed,
+                                 const PeerSpeeds& peers)
 {
   return { std::exp(LastingLog(speed, peers)), Confidence(speed) };
 }
@@ -214,8 +214,8 @@
   return { speed.isFaulty ? FaultFactor : 1.0, confidence };
 }
 
-double ExpectedFactor(const EndpointSpeed& speed, const PeerSpeeds& peers,
-                      Elapsed now)
+double ExpectedSlowdown(const EndpointSpeed& speed, const PeerSpeeds& peers,
+                        Elapsed now)
 {
   const double common = std::log(peers.median);
   const double lasting = LastingLog(speed, peers);
--- a/Source/Decision/wgEndpointSpeed.h
+++ b/Source/Decision/wgEndpointSpeed.h
@@ -54,7 +54,7 @@
   /** The slowdown if the endpoint had nothing cached. A prompt prefix that was
    * wrongly assumed to be cached must not look like a fault.
    */
-  double leastFactor = 1.0;
+  double minFactor = 1.0;
 };
 
 enum class SpeedChange
@@ -70,13 +70,13 @@
 /** \brief Notes that work ended without a sample, which at a faulty endpoint
  * postpones the next probe.
  */
-void NoteNoSample(EndpointSpeed& speed, Elapsed now);
+void NoteWorkWithoutSample(EndpointSpeed& speed, Elapsed now);
 
 /** \brief Returns the mean slowdown over minutes. With few samples it is near
  * the median of the peers.
  */
-SlowdownEstimate LastingSpeed(const EndpointSpeed& speed,
-                              const PeerSpeeds& peers);
+SlowdownEstimate LastingSlowdown(const EndpointSpeed& speed,
+                                 const PeerSpeeds& peers);
 
 /** \brief Returns the slowdown over about half a second, relative to the
  * lasting one.
@@ -91,8 +91,8 @@
 /** \brief Returns the slowdown expected of new work. Endpoints that do not
  * differ significantly from their peers all get the same value.
  */
-double ExpectedFactor(const EndpointSpeed& speed, const PeerSpeeds& peers,
-                      Elapsed now);
+double ExpectedSlowdown(const EndpointSpeed& speed, const PeerSpeeds& peers,
+                        Elapsed now);
 
 /** \brief Returns whether the endpoint is faulty and no probe is due. Probes
  * are single requests.
--- a/Source/Decision/wgEndpointState.cxx
+++ b/Source/Decision/wgEndpointState.cxx
@@ -10,7 +10,7 @@
 constexpr double EjectFailureRate = 0.5;
 constexpr int EjectFailuresInRow = 3;
 constexpr int EjectUnreachedInRow = 2;
-constexpr int SilentWatchesToStop = 2;
+constexpr int UnansweredPollsToStop = 2;
 constexpr int MinSamples = 6;
 constexpr double EjectSlowdown = 4.0; // times the median of its peers
 constexpr double MaxEjectedFraction = 0.5;
@@ -120,18 +120,18 @@
 
 bool IsLeaving(const EndpointState& endpoint)
 {
-  return endpoint.listedLeaving || endpoint.saysLeaving || endpoint.removed;
+  return endpoint.listedLeaving || endpoint.reportsLeaving || endpoint.removed;
 }
 
 bool TakesNewWork(const EndpointState& endpoint)
 {
-  return !endpoint.drained && !endpoint.evacuated && endpoint.saysReady &&
+  return !endpoint.drained && !endpoint.evacuated && endpoint.reportsReady &&
          !IsLeaving(endpoint) &&
-         endpoint.silentWatches < SilentWatchesToStop &&
+         endpoint.unansweredPolls < UnansweredPollsToStop &&
          endpoint.health.state != HealthState::Ejected;
 }
 
-bool HasPlace(const EndpointState& endpoint, PlaceRule rule)
+bool IsSlotFree(const EndpointState& endpoint, SlotRule rule)
 {
   if (!TakesNewWork(endpoint)) {
     return false;
@@ -141,7 +141,7 @@
   }
   const int limit = static_cast<int>(endpoint.limit.value);
   const int places =
-    rule == PlaceRule::Any ? limit : std::min(limit, endpoint.share);
+    rule == SlotRule::Any ? limit : std::min(limit, endpoint.share);
   return endpoint.running < places;
 }
 
@@ -184,19 +184,20 @@
   return eject;
 }
 
-void NoteWatch(EndpointState& endpoint, bool answered)
+void NoteLoadPoll(EndpointState& endpoint, bool answered)
 {
   const bool wasUnreached = endpoint.health.state == HealthState::Ejected &&
                             endpoint.health.unreachedInRow > 0;
-  const bool wasUnresponsive = endpoint.silentWatches >= SilentWatchesToStop &&
-                               endpoint.health.state == HealthState::Healthy;
+  const bool wasUnresponsive =
+    endpoint.unansweredPolls >= UnansweredPollsToStop &&
+    endpoint.health.state == HealthState::Healthy;
   const bool isBack = answered && (wasUnresponsive || wasUnreached);
   if (isBack) {
     // The endpoint was certainly gone and is back, so one probe is enough.
     endpoint.health.state = HealthState::Probing;
     endpoint.health.probesPassed = ProbesToPass - 1;
   }
-  endpoint.silentWatches = answered ? 0 : endpoint.silentWatches + 1;
+  endpoint.unansweredPolls = answered ? 0 : endpoint.unansweredPolls + 1;
 }
 
 void StartProbes(absl::Span<EndpointState> group, Elapsed now)
--- a/Source/Decision/wgEndpointState.h
+++ b/Source/Decision/wgEndpointState.h
@@ -58,15 +58,15 @@
   std::string address;          // IP address
   int port = 0;
   int slots = 1;
-  bool drained = false;       // by an operator
-  bool evacuated = false;     // its hall, by an operator
-  bool listedLeaving = false; // by the platform's list
-  bool saysLeaving = false;   // by its own report
-  bool saysReady = true;      // by its own report; false while it loads
-  bool removed = false;       // no longer configured
-  int running = 0;            // stages of this entry
-  int silentWatches = 0;      // load polls in a row without an answer
-  std::uint64_t compared = 0; // number of the choice that last compared it
+  bool drained = false;        // by an operator
+  bool evacuated = false;      // its hall, by an operator
+  bool listedLeaving = false;  // by the platform's list
+  bool reportsLeaving = false; // by its own report
+  bool reportsReady = true;    // by its own report; false while it loads
+  bool removed = false;        // no longer configured
+  int running = 0;             // stages of this entry
+  int unansweredPolls = 0;     // load polls in a row without an answer
+  std::uint64_t compared = 0;  // number of the choice that last compared it
   int share = 0;   // this box's slots there while the group is contended
   int skipped = 0; // comparisons in a row that chose another endpoint
   LoadReport report;
@@ -92,14 +92,14 @@
 bool TakesNewWork(const EndpointState& endpoint);
 
 /** \brief Which of an endpoint's slots may be used. */
-enum class PlaceRule
+enum class SlotRule
 {
   Any,   // all within its adaptive limit
   Shared // of these, only the share of this box
 };
 
 /** \brief Returns whether one more stage may be sent there now. */
-bool HasPlace(const EndpointState& endpoint, PlaceRule rule);
+bool IsSlotFree(const EndpointState& endpoint, SlotRule rule);
 
 /** \brief Updates limit, estimate and health at the end of an attempt.
  * \return whether the endpoint's health state changed
@@ -108,7 +108,7 @@
                     AttemptEnd end, double seconds, Elapsed now);
 
 /** \brief Notes whether the endpoint answered a load poll. */
-void NoteWatch(EndpointState& endpoint, bool answered);
+void NoteLoadPoll(EndpointState& endpoint, bool answered);
 
 /** \brief Starts probing endpoints whose ejection has expired. */
 void StartProbes(absl::Span<EndpointState> group, Elapsed now);
--- a/Source/Decision/wgEndpointTerms.cxx
+++ b/Source/Decision/wgEndpointTerms.cxx
@@ -5,40 +5,41 @@
 
 namespace wg {
 
-bool TakeLimit(EndpointTerms& known, std::optional<double> perSecond,
-               Elapsed reported)
+bool ApplyLimit(EndpointTerms& known, std::optional<double> perSecond,
+                Elapsed reported)
 {
-  if (reported < known.limitTold) {
+  if (reported < known.limitReported) {
     return false;
   }
   const bool isChanged = known.perSecond != perSecond;
   known.perSecond = perSecond;
-  known.limitTold = reported;
+  known.limitReported = reported;
   return isChanged;
 }
 
-TermsChange TakeTerms(EndpointTerms& known, const SenderTerms& reported,
-                      Elapsed sent, Elapsed now)
+TermsChange ApplyTerms(EndpointTerms& known, const SenderTerms& reported,
+                       Elapsed sent, Elapsed now)
 {
   TermsChange change;
-  if (reported.perSecond || (reported.endsLimit && sent >= known.limitTold)) {
-    change.limit = TakeLimit(known, reported.perSecond, now);
+  if (reported.perSecond ||
+      (reported.clearsLimit && sent >= known.limitReported)) {
+    change.limit = ApplyLimit(known, reported.perSecond, now);
   }
   if (reported.isLeaving) {
     change.leaving = !known.isLeaving;
     known.isLeaving = true;
     known.leavingReported = now;
   }
-  if (now + reported.rest > std::max(known.restUntil, now)) {
-    change.rest = true;
-    known.restUntil = now + reported.rest;
+  if (now + reported.backoff > std::max(known.backoffUntil, now)) {
+    change.backoff = true;
+    known.backoffUntil = now + reported.backoff;
   }
   return change;
 }
 
-bool IsResting(const EndpointTerms& terms, Elapsed now)
+bool IsBackingOff(const EndpointTerms& terms, Elapsed now)
 {
-  return now < terms.restUntil;
+  return now < terms.backoffUntil;
 }
 
 void ForgetLeaving(EndpointTerms& terms, Elapsed now)
--- a/Source/Decision/wgEndpointTerms.h
+++ b/Source/Decision/wgEndpointTerms.h
@@ -18,20 +18,20 @@
   std::optional<double> perSecond;
   bool isLeaving = false;
   /** Backoff requested of the box whose request was just refused. */
-  absl::Duration rest;
+  absl::Duration backoff;
   int unreadable = 0; // such fields that could not be parsed
   /** Whether the absence of a limit ends an earlier one. It does not in a
    * refusal or failure, which may leave the limit out.
    */
-  bool endsLimit = false;
+  bool clearsLimit = false;
 };
 
 /** \brief The terms of one start of an endpoint, as known to a box. */
 struct EndpointTerms
 {
   std::optional<double> perSecond; // limit for all boxes together
-  Elapsed limitTold; // when the limit or its end was last reported
-  Elapsed restUntil; // of this box
+  Elapsed limitReported; // when the limit or its end was last reported
+  Elapsed backoffUntil;  // of this box
   bool isLeaving = false;
   Elapsed leavingReported;
 };
@@ -40,13 +40,13 @@
 struct TermsChange
 {
   bool limit = false;
-  bool rest = false;
+  bool backoff = false;
   bool leaving = false;
 };
 
-inline bool IsAny(const TermsChange& change)
+inline bool HasChange(const TermsChange& change)
 {
-  return change.limit || change.rest || change.leaving;
+  return change.limit || change.backoff || change.leaving;
 }
 
 /** \brief How long an announced leave holds, longer than any drain takes. An
@@ -60,17 +60,17 @@
  *
  * \param sent when the request was sent
  */
-TermsChange TakeTerms(EndpointTerms& known, const SenderTerms& reported,
-                      Elapsed sent, Elapsed now);
+TermsChange ApplyTerms(EndpointTerms& known, const SenderTerms& reported,
+                       Elapsed sent, Elapsed now);
 
 /** \brief Applies a limit, or its end, unless a newer one is known.
  * \param reported when it was reported, to this or another box
  * \return whether the known limit changed
  */
-bool TakeLimit(EndpointTerms& known, std::optional<double> perSecond,
-               Elapsed reported);
+bool ApplyLimit(EndpointTerms& known, std::optional<double> perSecond,
+                Elapsed reported);
 
-bool IsResting(const EndpointTerms& terms, Elapsed now);
+bool IsBackingOff(const EndpointTerms& terms, Elapsed now);
 /** \brief Clears a leave that was announced LeavingMemory ago or earlier. */
 void ForgetLeaving(EndpointTerms& terms, Elapsed now);
 
--- a/Source/Decision/wgFairQueue.cxx
+++ b/Source/Decision/wgFairQueue.cxx
@@ -23,14 +23,14 @@
 /** Must be called before the start tag or the waiting stages change, since the
  * start tag is part of the key.
  */
-void LeaveTurn(FairQueue& queue, const std::string& account,
-               const AccountQueue& entry)
+void RemoveBacklogged(FairQueue& queue, const std::string& account,
+                      const AccountQueue& entry)
 {
   queue.backlogged.erase({ entry.startTag, account });
 }
 
-void EnterTurn(FairQueue& queue, const std::string& account,
-               const AccountQueue& entry)
+void AddIfBacklogged(FairQueue& queue, const std::string& account,
+                     const AccountQueue& entry)
 {
   if (!entry.waiting.empty()) {
     queue.backlogged.insert({ entry.startTag, account });
@@ -54,12 +54,14 @@
 
 bool IsInfeasible(const WaitingStage& stage, Elapsed now, double stageSeconds)
 {
-  const Elapsed done = now + absl::Seconds(stageSeconds + stage.laterSeconds);
+  const Elapsed done =
+    now + absl::Seconds(stageSeconds + stage.laterStagesSeconds);
   return now > stage.latestStart || done > stage.deadline;
 }
 
-WaitingStage TakeOut(FairQueue& queue, AccountQueue& entry,
-                     absl::btree_map<WaitingKey, WaitingStage>::iterator at)
+WaitingStage ExtractStage(
+  FairQueue& queue, AccountQueue& entry,
+  absl::btree_map<WaitingKey, WaitingStage>::iterator at)
 {
   WaitingStage stage = std::move(at->second);
   entry.waiting.erase(at);
@@ -80,7 +82,7 @@
   }
   const std::string account = stage.account;
   AccountQueue& entry = queue.accounts[account];
-  LeaveTurn(queue, account, entry);
+  RemoveBacklogged(queue, account, entry);
   entry.weight = std::max(stage.weight, MinWeight);
   if (entry.waiting.empty()) {
     entry.startTag = std::max(entry.startTag, queue.virtualTime);
@@ -88,7 +90,7 @@
   ++queue.count;
   queue.bytes += stage.bytes;
   entry.waiting.emplace(KeyOf(stage), std::move(stage));
-  EnterTurn(queue, account, entry);
+  AddIfBacklogged(queue, account, entry);
   return Reason::None;
 }
 
@@ -101,11 +103,11 @@
     }
     const std::string account = key.account;
     queue.virtualTime = std::max(queue.virtualTime, entry.startTag);
-    LeaveTurn(queue, account, entry);
-    WaitingStage stage = TakeOut(queue, entry, entry.waiting.begin());
+    RemoveBacklogged(queue, account, entry);
+    WaitingStage stage = ExtractStage(queue, entry, entry.waiting.begin());
     entry.startTag += stage.expectedCost / entry.weight;
     ++entry.running;
-    EnterTurn(queue, account, entry);
+    AddIfBacklogged(queue, account, entry);
     return stage;
   }
   return std::nullopt;
@@ -124,15 +126,15 @@
   if (at == entry.waiting.end()) {
     return false;
   }
-  LeaveTurn(queue, account, entry);
-  TakeOut(queue, entry, at);
-  EnterTurn(queue, account, entry);
+  RemoveBacklogged(queue, account, entry);
+  ExtractStage(queue, entry, at);
+  AddIfBacklogged(queue, account, entry);
   RemoveIfIdle(queue, account);
   return true;
 }
 
-std::vector<WaitingStage> TakeHopeless(FairQueue& queue, Elapsed now,
-                                       double stageSeconds)
+std::vector<WaitingStage> ExtractInfeasible(FairQueue& queue, Elapsed now,
+                                            double stageSeconds)
 {
   std::vector<WaitingStage> infeasible;
   std::vector<std::string> emptied;
@@ -144,7 +146,7 @@
         continue;
       }
       const WaitingKey position = at->first;
-      infeasible.push_back(TakeOut(queue, entry, at));
+      infeasible.push_back(ExtractStage(queue, entry, at));
       at = entry.waiting.upper_bound(position);
     }
     if (entry.waiting.empty()) {
@@ -152,7 +154,7 @@
     }
   }
   for (const std::string& account : emptied) {
-    LeaveTurn(queue, account, queue.accounts[account]);
+    RemoveBacklogged(queue, account, queue.accounts[account]);
     RemoveIfIdle(queue, account);
   }
   return infeasible;
@@ -166,10 +168,10 @@
     return;
   }
   AccountQueue& entry = found->second;
-  LeaveTurn(queue, account, entry);
+  RemoveBacklogged(queue, account, entry);
   entry.startTag += (actualCost - expectedCost) / entry.weight;
   --entry.running;
-  EnterTurn(queue, account, entry);
+  AddIfBacklogged(queue, account, entry);
   RemoveIfIdle(queue, account);
 }
 
--- a/Source/Decision/wgFairQueue.h
+++ b/Source/Decision/wgFairQueue.h
@@ -27,7 +27,7 @@
   /** Latest start that meets the deadline, estimated when enqueued. */
   Elapsed latestStart;
   /** Expected service time of the stages that follow this one. */
-  double laterSeconds = 0.0;
+  double laterStagesSeconds = 0.0;
   Elapsed enqueued;
   double expectedCost = 0.0; // expected service time, in seconds
   std::size_t bytes = 0;
@@ -120,8 +120,8 @@
  * deadlines.
  * \param stageSeconds current estimate of the service time of one stage
  */
-std::vector<WaitingStage> TakeHopeless(FairQueue& queue, Elapsed now,
-                                       double stageSeconds);
+std::vector<WaitingStage> ExtractInfeasible(FairQueue& queue, Elapsed now,
+                                            double stageSeconds);
 
 /** \brief Records the end of a running stage and charges its account the
  * difference between actual and expected cost, both in seconds.
--- a/Source/Decision/wgHallOrders.cxx
+++ b/Source/Decision/wgHallOrders.cxx
@@ -10,21 +10,22 @@
 
 } // namespace
 
-HallOrderTaken TakeHallOrder(HallOrders& orders, const wire::OrderHall& order)
+HallOrderResult ApplyHallOrder(HallOrders& orders,
+                               const wire::OrderHall& order)
 {
   const HallOrder known = FindHallOrder(orders, order.hall());
   if (known.evacuated == order.evacuate()) {
-    return HallOrderTaken::Holds;
+    return HallOrderResult::Holds;
   }
   if (known.number != order.seen()) {
-    return HallOrderTaken::Overtaken;
+    return HallOrderResult::Superseded;
   }
   const bool isFull = known.number == 0 && orders.halls.size() >= MaxHalls;
   if (order.hall().empty() || isFull) {
-    return HallOrderTaken::Refused;
+    return HallOrderResult::Refused;
   }
   orders.halls[order.hall()] = { order.evacuate(), ++orders.newest };
-  return HallOrderTaken::Holds;
+  return HallOrderResult::Holds;
 }
 
 bool IsEvacuated(const HallOrders& orders, absl::string_view hall)
--- a/Source/Decision/wgHallOrders.h
+++ b/Source/Decision/wgHallOrders.h
@@ -27,18 +27,19 @@
   std::map<std::string, HallOrder> halls;
 };
 
-enum class HallOrderTaken
+enum class HallOrderResult
 {
-  Holds,     // in force from now on, or already before
-  Overtaken, // a newer order follows the one that its author saw
-  Refused    // it names no hall, or there are too many halls
+  Holds,      // in force from now on, or already before
+  Superseded, // a newer order follows the one that its author saw
+  Refused     // it names no hall, or there are too many halls
 };
 
 /** \brief Applies an order. An order that repeats the one in force changes
  * nothing. Nor does one based on a superseded order, so that a late copy can't
  * undo newer orders.
  */
-HallOrderTaken TakeHallOrder(HallOrders& orders, const wire::OrderHall& order);
+HallOrderResult ApplyHallOrder(HallOrders& orders,
+                               const wire::OrderHall& order);
 
 bool IsEvacuated(const HallOrders& orders, absl::string_view hall);
 
--- a/Source/Decision/wgPoolForecast.cxx
+++ b/Source/Decision/wgPoolForecast.cxx
@@ -128,7 +128,7 @@
   return forecast;
 }
 
-double SecondsToClear(const PoolRate& rate,
+double SecondsToDrain(const PoolRate& rate,
                       absl::Span<const PendingWork> pending, Elapsed now)
 {
   if (rate.piecesPerSecond <= 0.0) {
@@ -162,8 +162,8 @@
   return urgent / DemandTimeConstantSeconds;
 }
 
-PoolRate RateLeft(const PoolRate& rate, const RankDemand& demand, int rank,
-                  Elapsed now)
+PoolRate RemainingRate(const PoolRate& rate, const RankDemand& demand,
+                       int rank, Elapsed now)
 {
   PoolRate left = rate;
   left.piecesPerSecond =
@@ -200,7 +200,7 @@
   return rate;
 }
 
-absl::Duration PromiseReturn(PromisedReturns& promised, const PoolRate& rate,
+absl::Duration ScheduleRetry(ScheduledRetries& promised, const PoolRate& rate,
                              absl::Span<const PendingWork> pending,
                              double pieces, Elapsed now)
 {
@@ -212,7 +212,7 @@
   for (const auto& each : retries) {
     before += each.pieces;
   }
-  double seconds = SecondsToClear(rate, pending, now);
+  double seconds = SecondsToDrain(rate, pending, now);
   if (rate.piecesPerSecond > 0.0) {
     seconds += SecondsToStart(rate, before);
   }
--- a/Source/Decision/wgPoolForecast.h
+++ b/Source/Decision/wgPoolForecast.h
@@ -51,7 +51,7 @@
                           const PendingWork& requested, Elapsed now);
 
 /** \brief Returns the time until all pending work has started. */
-double SecondsToClear(const PoolRate& rate,
+double SecondsToDrain(const PoolRate& rate,
                       absl::Span<const PendingWork> pending, Elapsed now);
 
 /** \brief Recently requested pieces by rank, as decaying sums. */
@@ -69,8 +69,8 @@
 /** \brief Returns the rate less the demand of more urgent ranks, whose work is
  * served first.
  */
-PoolRate RateLeft(const PoolRate& rate, const RankDemand& demand, int rank,
-                  Elapsed now);
+PoolRate RemainingRate(const PoolRate& rate, const RankDemand& demand,
+                       int rank, Elapsed now);
 
 /** \brief Pieces started by a busy pool, in which more pieces wait than fit
  * into a call, and the time in which it was busy, as decaying sums.
@@ -92,7 +92,7 @@
 PoolRate ObservedRate(const PoolRate& expected, const BusyRate& busy);
 
 /** \brief Times at which refused callers were told to retry. */
-struct PromisedReturns
+struct ScheduledRetries
 {
   struct Retry
   {
@@ -106,7 +106,7 @@
  * and that of the retries scheduled before have started.
  * \return the delay until the retry
  */
-absl::Duration PromiseReturn(PromisedReturns& promised, const PoolRate& rate,
+absl::Duration ScheduleRetry(ScheduledRetries& promised, const PoolRate& rate,
                              absl::Span<const PendingWork> pending,
                              double pieces, Elapsed now);
 
--- a/Source/Decision/wgResultRoom.cxx
+++ b/Source/Decision/wgResultRoom.cxx
@@ -18,14 +18,14 @@
 
 } // namespace
 
-bool IsRoomScarce(std::int64_t used, std::int64_t total)
+bool AreBuffersScarce(std::int64_t used, std::int64_t total)
 {
   return total > 0 && static_cast<double>(used) >=
                         ScarceBufferFraction * static_cast<double>(total);
 }
 
-InputVerdict JudgeInputs(int waiting, absl::Span<const InputUse> calls,
-                         Elapsed lastLoss, Elapsed now)
+InputVerdict EvaluateInputs(int waiting, absl::Span<const InputUse> calls,
+                            Elapsed lastLoss, Elapsed now)
 {
   if (waiting > 0) {
     return InputVerdict::TooEarly;
@@ -34,8 +34,8 @@
     return InputVerdict::RecentLoss;
   }
   for (const InputUse& call : calls) {
-    if (call.lacksRoom) {
-      return InputVerdict::RoomShort;
+    if (call.isBufferFull) {
+      return InputVerdict::BufferFull;
     }
     if (now - call.started > call.expected) {
       return InputVerdict::CallOverdue;
@@ -43,33 +43,33 @@
   }
   const bool allFetched =
     std::all_of(calls.begin(), calls.end(), [now](const InputUse& call) {
-      return now - call.started >= FetchedAfterShare * call.expected;
+      return now - call.started >= FetchedAfterFraction * call.expected;
     });
   return allFetched ? InputVerdict::Release : InputVerdict::TooEarly;
 }
 
-RoomEvidence EvidenceOf(const RoomAnswer& answer, Elapsed now)
+BufferEvidence EvidenceOf(const BufferFullAnswer& answer, Elapsed now)
 {
   const std::int64_t recorded = std::max(ClampSize(answer.recordedAtSend),
                                          ClampSize(answer.recordedAtEnd));
-  RoomEvidence evidence;
+  BufferEvidence evidence;
   evidence.isKnown = true;
-  evidence.held = ClampSize(recorded - ClampSize(answer.notMade));
+  evidence.held = ClampSize(recorded - ClampSize(answer.notExecuted));
   evidence.refused = ClampSize(answer.refused);
   evidence.smallestRefused = ClampSize(answer.smallestRefused);
   evidence.noted = now;
   return evidence;
 }
 
-bool IsRoomShort(const RoomEvidence& evidence, Elapsed now)
+bool IsBufferFull(const BufferEvidence& evidence, Elapsed now)
 {
   return evidence.isKnown && now < evidence.noted + ResultLifetime;
 }
 
-std::int64_t RoomBound(const RoomEvidence& evidence, Elapsed now)
+std::int64_t BufferBound(const BufferEvidence& evidence, Elapsed now)
 {
-  if (!IsRoomShort(evidence, now)) {
-    return UnboundedRoom;
+  if (!IsBufferFull(evidence, now)) {
+    return UnboundedBuffer;
   }
   const auto periods = static_cast<std::int64_t>(
     absl::FDivDuration(now - evidence.noted, BufferRetryPeriod));
--- a/Source/Decision/wgResultRoom.h
+++ b/Source/Decision/wgResultRoom.h
@@ -15,7 +15,7 @@
  * inputs. Fetching 25 MB over 10 Gbit/s takes some 20 ms, at the start of a
  * call of at least 200 ms.
  */
-constexpr double FetchedAfterShare = 0.5;
+constexpr double FetchedAfterFraction = 0.5;
 
 /** \brief After an endpoint missed inputs that had been released, its pool
  * releases none early for this long. Two coordinators that serve a pool at the
@@ -44,14 +44,14 @@
 /** \param used, total bytes at all endpoints of the pool; a total of zero
  * means no limit
  */
-bool IsRoomScarce(std::int64_t used, std::int64_t total);
+bool AreBuffersScarce(std::int64_t used, std::int64_t total);
 
 /** \brief A call with pieces of a work. */
 struct InputUse
 {
   Elapsed started;
   absl::Duration expected;
-  bool lacksRoom = false; // its endpoint recently refused results
+  bool isBufferFull = false; // its endpoint recently refused results
 };
 
 /** \brief Whether the inputs of a work may be released, or why not. */
@@ -60,7 +60,7 @@
   Release,
   TooEarly,    // pieces wait, or a call may still fetch its inputs
   CallOverdue, // a call exceeds its expected time and may be repeated
-  RoomShort,   // an endpoint may refuse results, which are then recomputed
+  BufferFull,  // an endpoint may refuse results, which are then recomputed
   RecentLoss   // an endpoint missed inputs that were released early
 };
 
@@ -70,8 +70,8 @@
  * \param waiting number of pieces of the work that wait
  * \param calls that execute its other pieces
  */
-InputVerdict JudgeInputs(int waiting, absl::Span<const InputUse> calls,
-                         Elapsed lastLoss, Elapsed now);
+InputVerdict EvaluateInputs(int waiting, absl::Span<const InputUse> calls,
+                            Elapsed lastLoss, Elapsed now);
 
 /** \brief The time of the last loss where there was none. */
 constexpr Elapsed NeverLost = -absl::InfiniteDuration();
@@ -80,17 +80,17 @@
  * full, in bytes. Recorded bytes are those that the coordinator counts as
  * buffered at the endpoint, with all pieces of the call.
  */
-struct RoomAnswer
+struct BufferFullAnswer
 {
   std::int64_t recordedAtSend = 0;
   std::int64_t recordedAtEnd = 0;
-  std::int64_t notMade = 0;         // pieces of the call without a result
+  std::int64_t notExecuted = 0;     // pieces of the call without a result
   std::int64_t refused = 0;         // of these, because the buffer was full
   std::int64_t smallestRefused = 0; // one piece
 };
 
 /** \brief What the last refused results show of an endpoint's buffer. */
-struct RoomEvidence
+struct BufferEvidence
 {
   bool isKnown = false;
   std::int64_t held = 0; // recorded bytes that fit
@@ -99,20 +99,20 @@
   Elapsed noted;
 };
 
-constexpr std::int64_t UnboundedRoom =
+constexpr std::int64_t UnboundedBuffer =
   std::numeric_limits<std::int64_t>::max();
 
 /** \brief Derives the evidence from an answer. Results may have been released
  * during its call, so the larger of both recorded sizes counts.
  */
-RoomEvidence EvidenceOf(const RoomAnswer& answer, Elapsed now);
+BufferEvidence EvidenceOf(const BufferFullAnswer& answer, Elapsed now);
 
 /** \brief Returns the recorded bytes up to which an endpoint may get work. The
  * bound matters for endpoints that hold more than is recorded, as after a
  * change of the coordinator: each refused piece wastes a call.
  */
-std::int64_t RoomBound(const RoomEvidence& evidence, Elapsed now);
+std::int64_t BufferBound(const BufferEvidence& evidence, Elapsed now);
 
-bool IsRoomShort(const RoomEvidence& evidence, Elapsed now);
+bool IsBufferFull(const BufferEvidence& evidence, Elapsed now);
 
 } // namespace wg
--- a/Source/Decision/wgRollout.cxx
+++ b/Source/Decision/wgRollout.cxx
@@ -19,7 +19,7 @@
 }
 
 RolloutStep StepOfCurrent(const RolloutConfig& rollout,
-                          const ReplicaView& current, RolloutWatch& watch,
+                          const ReplicaView& current, RolloutProgress& watch,
                           const RolloutTiming& timing, Elapsed now)
 {
   if (watch.endpoint != current.name) {
@@ -28,7 +28,7 @@
     watch.drainedAt = now;
   }
   if (!current.answers) {
-    return { RolloutMove::Wait, RolloutState::NoneAnswers, current.name };
+    return { RolloutMove::Wait, RolloutState::NoneResponds, current.name };
   }
   if (IsUpdated(rollout, current)) {
     return { RolloutMove::End, RolloutState::Ending, current.name };
@@ -71,8 +71,8 @@
 
 RolloutStep NextRolloutStep(const RolloutConfig& rollout,
                             absl::Span<const ReplicaView> replicas,
-                            RolloutWatch& watch, const RolloutTiming& timing,
-                            Elapsed now)
+                            RolloutProgress& watch,
+                            const RolloutTiming& timing, Elapsed now)
 {
   for (const ReplicaView& replica : replicas) {
     if (replica.name == rollout.current) {
@@ -85,7 +85,7 @@
     const bool done =
       CountUpdated(rollout, replicas) == static_cast<int>(replicas.size());
     return { RolloutMove::Wait,
-             done ? RolloutState::Done : RolloutState::NoneAnswers, "" };
+             done ? RolloutState::Done : RolloutState::NoneResponds, "" };
   }
   const int left = CountServing(replicas) - (IsServing(*next) ? 1 : 0);
   if (IsServing(*next) && left < rollout.minReady) {
@@ -94,7 +94,7 @@
   return { RolloutMove::Begin, RolloutState::Beginning, next->name };
 }
 
-bool MayOrder(const OrderRight& right, bool checksFence, Elapsed now)
+bool MayOrder(const OrderAuthority& right, bool checksFence, Elapsed now)
 {
   const bool earlierEnded =
     checksFence || now - right.leadSince >= EarlierOrderTimeout;
--- a/Source/Decision/wgRollout.h
+++ b/Source/Decision/wgRollout.h
@@ -23,7 +23,7 @@
 };
 
 /** \brief The steps of this leader with the current endpoint so far. */
-struct RolloutWatch
+struct RolloutProgress
 {
   std::string endpoint;
   Elapsed drainedAt = -absl::InfiniteDuration();
@@ -55,7 +55,7 @@
   Loading,
   Ending,
   TooFewReady, // draining one more would leave too few
-  NoneAnswers  // no endpoint left to update responds
+  NoneResponds // no endpoint left to update responds
 };
 
 struct RolloutStep
@@ -74,11 +74,11 @@
  */
 RolloutStep NextRolloutStep(const RolloutConfig& rollout,
                             absl::Span<const ReplicaView> replicas,
-                            RolloutWatch& watch, const RolloutTiming& timing,
-                            Elapsed now);
+                            RolloutProgress& watch,
+                            const RolloutTiming& timing, Elapsed now);
 
 /** \brief The period in which a leader may give orders. */
-struct OrderRight
+struct OrderAuthority
 {
   Elapsed leadSince;
   Elapsed leaseEnd = -absl::InfiniteDuration();
@@ -88,7 +88,7 @@
  * and, if the endpoint does not check fences, only when no order of an earlier
  * leader can still arrive.
  */
-bool MayOrder(const OrderRight& right, bool checksFence, Elapsed now);
+bool MayOrder(const OrderAuthority& right, bool checksFence, Elapsed now);
 
 bool IsServing(const ReplicaView& replica);
 
--- a/Source/Decision/wgRouter.cxx
+++ b/Source/Decision/wgRouter.cxx
@@ -42,16 +42,16 @@
 }
 
 std::vector<std::size_t> WithFreeSlot(absl::Span<const EndpointState> group,
-                                      std::size_t avoid, PlaceRule rule)
+                                      std::size_t avoid, SlotRule rule)
 {
   std::vector<std::size_t> available;
   for (std::size_t i = 0; i < group.size(); ++i) {
-    if (i != avoid && HasPlace(group[i], rule)) {
+    if (i != avoid && IsSlotFree(group[i], rule)) {
       available.push_back(i);
     }
   }
-  const bool onlyAvoided =
-    available.empty() && avoid < group.size() && HasPlace(group[avoid], rule);
+  const bool onlyAvoided = available.empty() && avoid < group.size() &&
+                           IsSlotFree(group[avoid], rule);
   if (onlyAvoided) {
     available.push_back(avoid);
   }
--- a/Source/Decision/wgRouter.h
+++ b/Source/Decision/wgRouter.h
@@ -31,7 +31,7 @@
   Elapsed now;
   std::size_t avoid = SIZE_MAX; // endpoint at which an earlier attempt failed
   std::size_t choices = 3;      // number of endpoints compared
-  PlaceRule rule = PlaceRule::Any;
+  SlotRule rule = SlotRule::Any;
 };
 
 struct RouteCandidate
--- a/Source/Decision/wgSendRate.cxx
+++ b/Source/Decision/wgSendRate.cxx
@@ -18,7 +18,7 @@
 double PerSecond(const SendRate& rate)
 {
   return std::max(rate.perSecond, MinPerSecond) *
-         (rate.isSettled ? SettledShare : UnsettledFraction);
+         (rate.isSettled ? SettledFraction : UnsettledFraction);
 }
 
 void Fill(SendBucket& bucket, double perSecond, Elapsed now)
@@ -31,7 +31,7 @@
 
 } // namespace
 
-bool TakeSend(SendBucket& bucket, const SendRate& rate, Elapsed now)
+bool TryTakeToken(SendBucket& bucket, const SendRate& rate, Elapsed now)
 {
   Fill(bucket, PerSecond(rate), now);
   if (bucket.tokens < 1.0 - RoundingError) {
@@ -41,8 +41,8 @@
   return true;
 }
 
-absl::Duration TimeUntilSend(SendBucket& bucket, const SendRate& rate,
-                             Elapsed now)
+absl::Duration TimeUntilToken(SendBucket& bucket, const SendRate& rate,
+                              Elapsed now)
 {
   const double perSecond = PerSecond(rate);
   Fill(bucket, perSecond, now);
--- a/Source/Decision/wgSendRate.h
+++ b/Source/Decision/wgSendRate.h
@@ -33,16 +33,16 @@
  * grant. While the coordinator changes, two boxes together stay within the
  * limit.
  */
-constexpr double SettledShare = 0.75;
-constexpr double UnsettledFraction = 1.0 - SettledShare;
+constexpr double SettledFraction = 0.75;
+constexpr double UnsettledFraction = 1.0 - SettledFraction;
 
 /** \brief Removes one token and returns true, or returns false if there is
  * none.
  */
-bool TakeSend(SendBucket& bucket, const SendRate& rate, Elapsed now);
+bool TryTakeToken(SendBucket& bucket, const SendRate& rate, Elapsed now);
 
 /** \brief Returns the time until the bucket holds a token. */
-absl::Duration TimeUntilSend(SendBucket& bucket, const SendRate& rate,
-                             Elapsed now);
+absl::Duration TimeUntilToken(SendBucket& bucket, const SendRate& rate,
+                              Elapsed now);
 
 } // namespace wg
--- a/Source/Decision/wgOutlook.cxx
+++ b/Source/Decision/wgStageEstimate.cxx
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "wgOutlook.h"
+#include "wgStageEstimate.h"
 
 #include <algorithm>
 
@@ -27,34 +27,34 @@
 
 } // namespace
 
-StageOutlook OutlookFor(const GroupState& group, const std::string& account,
-                        double weight)
+StageEstimate EstimateStage(const GroupState& group,
+                            const std::string& account, double weight)
 {
-  StageOutlook outlook;
-  outlook.serviceSeconds = ExpectedSeconds(group.service, group.priorSeconds);
-  outlook.spreadSeconds = group.service.spread;
-  const double slots = CountPlaces(group);
-  outlook.anyEndpoint = slots > 0;
+  StageEstimate estimate;
+  estimate.serviceSeconds = ExpectedSeconds(group.service, group.priorSeconds);
+  estimate.spreadSeconds = group.service.spread;
+  const double slots = CountSlots(group);
+  estimate.anyEndpoint = slots > 0;
   auto queued = group.queue.accounts.find(account);
   if (queued != group.queue.accounts.end()) {
-    outlook.ahead += static_cast<double>(queued->second.waiting.size());
-    outlook.ahead += queued->second.running;
+    estimate.ahead += static_cast<double>(queued->second.waiting.size());
+    estimate.ahead += queued->second.running;
   }
   auto coming = group.upcoming.find(account);
   if (coming != group.upcoming.end()) {
-    outlook.ahead += coming->second;
+    estimate.ahead += coming->second;
   }
   const GroupQuota& quota = group.quota;
   auto known = quota.accounts.find(account);
   if (known != quota.accounts.end()) {
-    outlook.ahead += AheadElsewhereNow(known->second, outlook.ahead);
-    outlook.slots = known->second.slotsIfBacklogged;
+    estimate.ahead += AheadElsewhereNow(known->second, estimate.ahead);
+    estimate.slots = known->second.slotsIfBacklogged;
   } else if (quota.known) {
-    outlook.slots = std::max(quota.slotsPerWeight * weight, quota.unused);
+    estimate.slots = std::max(quota.slotsPerWeight * weight, quota.unused);
   } else {
-    outlook.slots = slots;
+    estimate.slots = slots;
   }
-  return outlook;
+  return estimate;
 }
 
 void CountUpcoming(GroupState& group, const std::string& account, int change)
--- a/Source/Decision/wgStagePlan.cxx
+++ b/Source/Decision/wgStagePlan.cxx
@@ -30,7 +30,7 @@
     }
     longest = std::max(longest, until[i]);
   }
-  return longest + plan.readSeconds;
+  return longest + plan.prefillSeconds;
 }
 
 double SecondsAfter(const StagePlan& plan, std::size_t stage)
@@ -42,7 +42,7 @@
       after[before] = std::max(after[before], stages[i].ownSeconds + after[i]);
     }
   }
-  return after[stage] + plan.readSeconds;
+  return after[stage] + plan.prefillSeconds;
 }
 
 bool IsRefused(double expectedSeconds, absl::Duration target)
@@ -50,8 +50,8 @@
   return absl::Seconds(expectedSeconds) > AdmittedFraction * target;
 }
 
-absl::Duration LongestFirstWait(absl::Duration target, absl::Duration spent,
-                                double expectedSeconds)
+absl::Duration MaxFirstWait(absl::Duration target, absl::Duration spent,
+                            double expectedSeconds)
 {
   return std::max(MinWait, AdmittedFraction * target - spent -
                              absl::Seconds(expectedSeconds));
--- a/Source/Decision/wgStagePlan.h
+++ b/Source/Decision/wgStagePlan.h
@@ -22,7 +22,7 @@
 struct StagePlan
 {
   std::vector<PlannedStage> stages;
-  double readSeconds = 0.0; // prefill of the request's own prompt segment
+  double prefillSeconds = 0.0; // prefill of the request's own prompt segment
 };
 
 /** \brief Returns when the answer of a request that has not started would
@@ -46,7 +46,7 @@
  * \param spent since the request arrived
  * \param expectedSeconds without that wait
  */
-absl::Duration LongestFirstWait(absl::Duration target, absl::Duration spent,
-                                double expectedSeconds);
+absl::Duration MaxFirstWait(absl::Duration target, absl::Duration spent,
+                            double expectedSeconds);
 
 } // namespace wg
--- a/Source/Decision/wgTokenStream.h
+++ b/Source/Decision/wgTokenStream.h
@@ -23,8 +23,8 @@
 };
 
 /** \brief Classifies a token by its index and appends it if it is next. */
-inline TokenVerdict JudgeToken(TokenStream& stream, std::size_t index,
-                               absl::string_view token)
+inline TokenVerdict ClassifyToken(TokenStream& stream, std::size_t index,
+                                  absl::string_view token)
 {
   if (index < stream.next) {
     return TokenVerdict::Duplicate;
--- a/Source/Decision/wgVersionRollout.cxx
+++ b/Source/Decision/wgVersionRollout.cxx
@@ -86,8 +86,8 @@
 
 } // namespace
 
-VersionOrderTaken TakeVersionOrder(VersionRollouts& rollouts,
-                                   const wire::OrderVersion& order)
+VersionOrderResult ApplyVersionOrder(VersionRollouts& rollouts,
+                                     const wire::OrderVersion& order)
 {
   const VersionRollout known = FindVersionRollout(rollouts, order.service());
   const bool isValid = !order.service().empty() && !order.version().empty() &&
@@ -96,13 +96,13 @@
   const bool isFull =
     known.number == 0 && rollouts.services.size() >= MaxServices;
   if (!isValid || isFull) {
-    return VersionOrderTaken::Refused;
+    return VersionOrderResult::Refused;
   }
   if (IsInProgress(known)) {
-    return VersionOrderTaken::UnderWay;
+    return VersionOrderResult::InProgress;
   }
   if (known.number != order.seen()) {
-    return VersionOrderTaken::Overtaken;
+    return VersionOrderResult::Superseded;
   }
   VersionRollout& rollout = rollouts.services[order.service()];
   rollout = {};
@@ -112,10 +112,10 @@
   rollout.permille = FirstPermille;
   rollout.duration = absl::Milliseconds(order.duration_ms());
   ++rollouts.newest;
-  return VersionOrderTaken::Taken;
+  return VersionOrderResult::Applied;
 }
 
-void TakeVersionMove(VersionRollouts& rollouts, const wire::MoveVersion& move)
+void ApplyVersionMove(VersionRollouts& rollouts, const wire::MoveVersion& move)
 {
   auto found = rollouts.services.find(move.service());
   const bool isCurrent = found != rollouts.services.end() &&
@@ -153,7 +153,7 @@
          rollout.permille;
 }
 
-VersionVerdict JudgeVersion(absl::Span<const RouteEvidence> routes)
+VersionVerdict EvaluateVersion(absl::Span<const RouteEvidence> routes)
 {
   std::uint64_t answers = 0;
   for (const RouteEvidence& route : routes) {
--- a/Source/Decision/wgVersionRollout.h
+++ b/Source/Decision/wgVersionRollout.h
@@ -38,12 +38,12 @@
   std::map<std::string, VersionRollout, std::less<>> services;
 };
 
-enum class VersionOrderTaken
+enum class VersionOrderResult
 {
-  Taken,
-  UnderWay,  // an order on the service is in progress
-  Overtaken, // a newer order follows the one that its author saw
-  Refused    // invalid service, version or duration, or too many services
+  Applied,
+  InProgress, // an order on the service is in progress
+  Superseded, // a newer order follows the one that its author saw
+  Refused     // invalid service, version or duration, or too many services
 };
 
 /** \brief The part of the requests that a version gets from its order on.
@@ -64,13 +64,14 @@
  */
 constexpr absl::Duration DecisionMargin = absl::Milliseconds(300);
 
-VersionOrderTaken TakeVersionOrder(VersionRollouts& rollouts,
-                                   const wire::OrderVersion& order);
+VersionOrderResult ApplyVersionOrder(VersionRollouts& rollouts,
+                                     const wire::OrderVersion& order);
 
 /** \brief Applies a decision of the leader. Ignored for an order that has
  * ended or is not the newest of its service.
  */
-void TakeVersionMove(VersionRollouts& rollouts, const wire::MoveVersion& move);
+void ApplyVersionMove(VersionRollouts& rollouts,
+                      const wire::MoveVersion& move);
 
 /** \brief The newest order on the service; number 0 if there is none. */
 const VersionRollout& FindVersionRollout(const VersionRollouts& rollouts,
@@ -105,7 +106,7 @@
  * A version is bad if it fails or is late significantly more often than the
  * others, or takes more than twice as long on average.
  */
-VersionVerdict JudgeVersion(absl::Span<const RouteEvidence> routes);
+VersionVerdict EvaluateVersion(absl::Span<const RouteEvidence> routes);
 
 /** \brief Makes the next decision on an order in progress.
  *
--- a/Source/Entry/wgBlackboard.cxx
+++ b/Source/Entry/wgBlackboard.cxx
@@ -108,7 +108,7 @@
 {
   absl::MutexLock lock(&table.mutex);
   std::vector<wire::Member> alive;
-  for (const KnownMember* known : AliveMembers(table.membership, now)) {
+  for (const KnownMember* known : ReachableMembers(table.membership, now)) {
     alive.push_back(known->member);
   }
   return alive;
@@ -191,7 +191,7 @@
       node.mapped()->done.Notify();
     }
   }
-  for (const WaitingStage& stage : round.hopeless) {
+  for (const WaitingStage& stage : round.infeasible) {
     auto node = table.waits.extract(stage.ticket);
     if (!node.empty()) {
       node.mapped()->done.Notify();
--- a/Source/Entry/wgEntryNode.cxx
+++ b/Source/Entry/wgEntryNode.cxx
@@ -44,8 +44,8 @@
   endpoint.report.waiting = BoundedLoad(load, "waiting");
   endpoint.report.ownRunning = endpoint.running;
   endpoint.report.at = ElapsedNow();
-  endpoint.saysLeaving = BoolOr(load, "leaving", false);
-  endpoint.saysReady = BoolOr(load, "ready", true);
+  endpoint.reportsLeaving = BoolOr(load, "leaving", false);
+  endpoint.reportsReady = BoolOr(load, "ready", true);
 }
 
 /** What runs of the accounts that have a limit over all boxes. */
@@ -292,7 +292,7 @@
       absl::MutexLock lock(&board_.groups.mutex);
       EndpointState& endpoint =
         board_.groups.groups[target.group].endpoints[target.index];
-      NoteWatch(endpoint, load.is_object());
+      NoteLoadPoll(endpoint, load.is_object());
       if (load.is_object()) {
         TakeLoadReport(endpoint, load);
       }
--- a/Source/Entry/wgEntryNodeConfig.cxx
+++ b/Source/Entry/wgEntryNodeConfig.cxx
@@ -51,7 +51,7 @@
   absl::MutexLock lock(&board_.members.mutex);
   const Membership& membership = board_.members.membership;
   std::vector<std::string> neighbours;
-  for (const KnownMember* known : AliveMembers(membership, ElapsedNow())) {
+  for (const KnownMember* known : ReachableMembers(membership, ElapsedNow())) {
     const bool newer = known->member.revision() > membership.self.revision();
     if (newer) {
       neighbours.push_back(known->member.address());
--- a/Source/Entry/wgEntryStatus.cxx
+++ b/Source/Entry/wgEntryStatus.cxx
@@ -24,7 +24,7 @@
   if (IsLeaving(endpoint)) {
     return "leaving";
   }
-  if (!endpoint.saysReady) {
+  if (!endpoint.reportsReady) {
     return "loading";
   }
   switch (endpoint.health.state) {
@@ -71,7 +71,7 @@
     rows.push_back({ { "group", name },
                      { "waiting", group.queue.count },
                      { "waiting_bytes", group.queue.bytes },
-                     { "places", CountPlaces(group) },
+                     { "places", CountSlots(group) },
                      { "mean_ms", group.service.mean * 1000.0 },
                      { "retry_tokens", group.retries.tokens } });
   }
@@ -126,7 +126,7 @@
                    { "revision", membership.self.revision() },
                    { "age_ms", 0 } });
   for (const auto& [box, known] : membership.others) {
-    const bool alive = IsAlive(membership, known, now);
+    const bool alive = IsReachable(membership, known, now);
     rows.push_back(
       { { "box", box },
         { "hall", known.member.hall() },
@@ -134,7 +134,7 @@
                    : known.member.leaving() ? "leaving"
                                             : "live" },
         { "revision", known.member.revision() },
-        { "age_ms", absl::ToInt64Milliseconds(now - known.heard) } });
+        { "age_ms", absl::ToInt64Milliseconds(now - known.lastHeartbeat) } });
   }
   return rows;
 }
--- a/Source/Entry/wgGenerationReader.cxx
+++ b/Source/Entry/wgGenerationReader.cxx
@@ -25,7 +25,8 @@
     whole_ = event.index == stream_.next;
     return whole_;
   }
-  const TokenVerdict verdict = JudgeToken(stream_, event.index, event.token);
+  const TokenVerdict verdict =
+    ClassifyToken(stream_, event.index, event.token);
   if (verdict == TokenVerdict::Deliver && sink_) {
     callerLeft_ = !sink_(event.index, event.token);
   }
--- a/Source/Entry/wgRequestRunner.cxx
+++ b/Source/Entry/wgRequestRunner.cxx
@@ -9,7 +9,7 @@
 #include "absl/strings/str_cat.h"
 
 #include "wgJson.h"
-#include "wgOutlook.h"
+#include "wgStageEstimate.h"
 #include "wgStageProtocol.h"
 
 namespace wg {
@@ -159,7 +159,7 @@
   {
     absl::MutexLock lock(&context_.blackboard.members.mutex);
     const auto alive =
-      AliveMembers(context_.blackboard.members.membership, arrived_);
+      ReachableMembers(context_.blackboard.members.membership, arrived_);
     limits.boxes = static_cast<int>(alive.size()) + 1;
     for (const KnownMember* known : alive) {
       for (const wire::AccountRunning& use : known->member.accounts()) {
@@ -181,13 +181,14 @@
   return true;
 }
 
-std::vector<StageOutlook> RequestRunner::Outlook(std::size_t fromStage)
+std::vector<StageEstimate> RequestRunner::Outlook(std::size_t fromStage)
 {
-  std::vector<StageOutlook> outlook;
+  std::vector<StageEstimate> outlook;
   for (std::size_t i = fromStage; i < pipeline_->stages.size(); ++i) {
     const GroupState& group =
       context_.blackboard.groups.groups[pipeline_->stages[i]];
-    outlook.push_back(OutlookFor(group, request_.account, account_->weight));
+    outlook.push_back(
+      EstimateStage(group, request_.account, account_->weight));
   }
   return outlook;
 }
@@ -359,7 +360,7 @@
 {
   GroupTable& groups = context_.blackboard.groups;
   const Elapsed start = ElapsedNow();
-  std::vector<StageOutlook> ahead;
+  std::vector<StageEstimate> ahead;
   {
     absl::MutexLock lock(&groups.mutex);
     ahead = Outlook(stage);
@@ -375,7 +376,7 @@
   waiting.enqueued = start;
   waiting.latestStart = deadline_ - absl::Seconds(ServiceSeconds(ahead));
   waiting.expectedCost = ahead.front().serviceSeconds;
-  waiting.laterSeconds = ServiceSeconds(ahead) - waiting.expectedCost;
+  waiting.laterStagesSeconds = ServiceSeconds(ahead) - waiting.expectedCost;
   waiting.bytes = request_.bytes;
   if (waiting.latestStart < start) {
     return { std::nullopt, Reason::DeadlineUnreachable };
@@ -450,7 +451,7 @@
   if (!sound) {
     return false;
   }
-  switch (JudgeAnswer(attempts_, reply.echoed)) {
+  switch (ClassifyAnswer(attempts_, reply.echoed)) {
     case AnswerVerdict::Accept:
       document_ = std::move(next);
       counters.Add(Event::StageFinished);
@@ -461,7 +462,7 @@
     case AnswerVerdict::Duplicate:
       counters.Add(Event::AnswerDuplicate);
       return false;
-    case AnswerVerdict::Foreign:
+    case AnswerVerdict::Mismatched:
       counters.Add(Event::AnswerForeign);
       return false;
   }
--- a/Source/Entry/wgRequestRunner.h
+++ b/Source/Entry/wgRequestRunner.h
@@ -90,7 +90,7 @@
   bool CheckLimits(RequestFailure& failure);
   bool CheckDeadline(RequestFailure& failure);
   bool ClaimKeyFirst(RequestFailure& failure);
-  std::vector<StageOutlook> Outlook(std::size_t fromStage)
+  std::vector<StageEstimate> Outlook(std::size_t fromStage)
     ABSL_EXCLUSIVE_LOCKS_REQUIRED(context_.blackboard.groups.mutex);
   void CountUpcoming(std::size_t stage, int change);
   bool RunStage(std::size_t stage, const CallerLink& caller,
--- a/Source/Gateway/wgControlFollower.cxx
+++ b/Source/Gateway/wgControlFollower.cxx
@@ -96,7 +96,7 @@
       return links[i]->isActive && links[i]->reached &&
              now - links[i]->followed > ListTime;
     });
-  const bool isSpread = !hasList && candidates.size() > MostFollowedWhole;
+  const bool isSpread = !hasList && candidates.size() > MaxFollowedByAll;
   absl::Duration wait = absl::ZeroDuration();
   for (const std::size_t i : chosen) {
     Link& link = *links[i];
@@ -270,7 +270,7 @@
   if (!sameMembers) {
     TakeFollowers(link, reply);
   }
-  if (!sameMembers || regained || HasUnsettled(shares_)) {
+  if (!sameMembers || regained || HasPendingShares(shares_)) {
     TellMembersSoon();
   }
   handler_.onReply(link.address, reply);
@@ -295,7 +295,7 @@
     member.box = follower.box();
     member.hall = follower.hall();
     member.address = follower.address();
-    if (IsSoundShare(follower.cpu_milli())) {
+    if (IsValidCpuShare(follower.cpu_milli())) {
       member.cpuMilli = follower.cpu_milli();
     } else if (follower.cpu_milli() != 0 && handler_.onUnsoundShare) {
       handler_.onUnsoundShare();
@@ -429,7 +429,7 @@
       merged.cpuMilli = share;
     }
   }
-  SettleShares(shares_, now);
+  ApplyPendingShares(shares_, now);
   std::vector<GatewayMember> list;
   list.reserve(members.size());
   for (auto& [box, member] : members) {
--- a/Source/Gateway/wgCrashTracker.cxx
+++ b/Source/Gateway/wgCrashTracker.cxx
@@ -156,7 +156,7 @@
     const bool lacks = known == control.known.end() ||
                        (record->second.outweighed && !known->second);
     if (lacks && news.crashes_size() < MaxCrashesInCall) {
-      *news.add_crashes() = TellCrash(key, record->second, now);
+      *news.add_crashes() = MakeCrashMessage(key, record->second, now);
     }
   }
   return news;
--- a/Source/Gateway/wgDirectory.cxx
+++ b/Source/Gateway/wgDirectory.cxx
@@ -297,7 +297,8 @@
 bool MaySendNow(const Directory& directory, const DirectoryEndpoint& endpoint,
                 Elapsed now)
 {
-  return TakesNewWork(directory, endpoint) && !IsResting(endpoint.terms, now);
+  return TakesNewWork(directory, endpoint) &&
+         !IsBackingOff(endpoint.terms, now);
 }
 
 bool IsEvacuatedWhole(const Directory& directory, absl::string_view service)
@@ -342,8 +343,8 @@
   }
   for (const auto& [id, endpoint] : *endpoints) {
     if (TakesNewWork(directory, *endpoint)) {
-      soonest = std::min(
-        soonest, std::max(endpoint->deniedUntil, endpoint->terms.restUntil));
+      soonest = std::min(soonest, std::max(endpoint->deniedUntil,
+                                           endpoint->terms.backoffUntil));
     }
   }
   return soonest == absl::InfiniteDuration()
@@ -467,7 +468,7 @@
 
 void NoteRefusal(DirectoryEndpoint& endpoint, Elapsed now)
 {
-  if (endpoint.failuresInRow == 0 && IsResting(endpoint.terms, now)) {
+  if (endpoint.failuresInRow == 0 && IsBackingOff(endpoint.terms, now)) {
     ++endpoint.failuresInRow;
     return;
   }
--- a/Source/Gateway/wgEndpointChoice.h
+++ b/Source/Gateway/wgEndpointChoice.h
@@ -63,7 +63,7 @@
 struct EngineChoice
 {
   DirectoryEndpoint* endpoint = nullptr;
-  double readSeconds = 0.0;
+  double prefillSeconds = 0.0;
 };
 
 /** \brief The engine that is expected to begin the answer first.
--- a/Source/Gateway/wgEngineCoordinator.cxx
+++ b/Source/Gateway/wgEngineCoordinator.cxx
@@ -103,7 +103,7 @@
   answer.set_counted(IsLimited(*placed.endpoint));
   answer.set_endpoint(placed.endpoint->id);
   answer.set_read_us(
-    static_cast<std::int64_t>(placed.readSeconds * MicrosInSecond));
+    static_cast<std::int64_t>(placed.prefillSeconds * MicrosInSecond));
   answer.set_wait_us(
     static_cast<std::int64_t>(placed.waitSeconds * MicrosInSecond));
   log_.Write(LogWeight::Routine, "engine_chosen",
@@ -111,7 +111,7 @@
                { "asked_by", ask.box() },
                { "endpoint", placed.endpoint->id },
                { "tokens", ask.tokens_in() },
-               { "read_ms", placed.readSeconds * MsInSecond },
+               { "read_ms", placed.prefillSeconds * MsInSecond },
                { "wait_ms", placed.waitSeconds * MsInSecond } });
   return answer;
 }
--- a/Source/Gateway/wgEnginePool.cxx
+++ b/Source/Gateway/wgEnginePool.cxx
@@ -185,7 +185,7 @@
   SpeedSample sample;
   sample.factor = read.factor * spent / expected;
   const double whole = read.wholeWaitSeconds + read.wholeSeconds;
-  sample.leastFactor = read.factor * spent / std::max(whole, expected);
+  sample.minFactor = read.factor * spent / std::max(whole, expected);
   return sample;
 }
 
@@ -362,7 +362,7 @@
     }
     const TokensToRead tokens =
       CountTokens(pool, query, paths, engine->id, ranked[i] == 0.0);
-    const double factor = ExpectedFactor(load.speed, peers, now);
+    const double factor = ExpectedSlowdown(load.speed, peers, now);
     const double perToken = query.speed.secondsPerToken * factor;
     const double wait = BacklogSeconds(load, now);
     const double read = tokens.all * perToken;
@@ -400,7 +400,7 @@
   if (query.cold.perSecond > 0.0) {
     load.sends.times.push_back(now);
   }
-  load.reads.push_back({ query.key, best.placement.readSeconds,
+  load.reads.push_back({ query.key, best.placement.prefillSeconds,
                          best.placement.waitSeconds, now, best.factor,
                          best.wholeSeconds, WholeBacklogSeconds(load) });
   NoteHolder(pool, paths, best.placement.endpoint->id, now);
@@ -424,11 +424,11 @@
       SampleOf(*read, result.tookSeconds);
     RemoveRead(load, read, now);
     if (!sample) {
-      NoteNoSample(load.speed, now);
+      NoteWorkWithoutSample(load.speed, now);
       return std::nullopt;
     }
     const PeerSpeeds peers = PeersOf(LoadsOf(pool), now);
-    const double lasting = LastingSpeed(load.speed, peers).factor;
+    const double lasting = LastingSlowdown(load.speed, peers).factor;
     const SpeedChange change = NoteSpeed(load.speed, peers, *sample, now);
     if (change == SpeedChange::None) {
       return std::nullopt;
--- a/Source/Gateway/wgEnginePool.h
+++ b/Source/Gateway/wgEnginePool.h
@@ -84,7 +84,7 @@
 struct EnginePlacement
 {
   DirectoryEndpoint* endpoint = nullptr;
-  double readSeconds = 0.0;
+  double prefillSeconds = 0.0;
   double waitSeconds = 0.0;
   bool isProbe = false; // of an engine that is judged faulty
 };
--- a/Source/Gateway/wgGatewayMember.cxx
+++ b/Source/Gateway/wgGatewayMember.cxx
@@ -13,10 +13,10 @@
   const StagePoolKey& pool, const std::set<std::string>& silentHalls)
 {
   const std::string name = NameOf(pool);
-  const auto describe = [&](const GatewayMember& member, bool isAlive) {
+  const auto describe = [&](const GatewayMember& member, bool isReachable) {
     const bool isNear = pool.hall.empty() || member.hall == pool.hall;
     return CoordinatorCandidate{ RendezvousWeight(name, member.box),
-                                 member.cpuMilli, isNear, isAlive };
+                                 member.cpuMilli, isNear, isReachable };
   };
   std::vector<CoordinatorCandidate> candidates;
   candidates.reserve(others.size() + 1);
@@ -25,7 +25,7 @@
     const bool isSilent = member.suspect || silentHalls.count(member.hall) > 0;
     candidates.push_back(describe(member, !isSilent));
   }
-  const std::size_t chosen = ChooseByShare(candidates);
+  const std::size_t chosen = ChooseByCpuShare(candidates);
   return chosen == 0 ? self : others[chosen - 1];
 }
 
--- a/Source/Gateway/wgGatewayNode.cxx
+++ b/Source/Gateway/wgGatewayNode.cxx
@@ -25,7 +25,7 @@
 
 GatewayNode::GatewayNode(GatewaySettings settings, const Dialect& dialect)
   : settings_(std::move(settings))
-  , cpuMilli_(ReadCpuShare(settings_.cpuShare))
+  , cpuMilli_(ParseCpuShare(settings_.cpuShare))
   , dialect_(dialect)
   , log_(settings_.box, "gateway")
   , client_(loop_)
--- a/Source/Gateway/wgGatewayRequest.cxx
+++ b/Source/Gateway/wgGatewayRequest.cxx
@@ -248,8 +248,8 @@
   }
   std::vector<double> waits = ToldWaits();
   waits[stage] = 0.0;
-  return LongestFirstWait(route_->aim, ElapsedNow() - exchange_->Arrived(),
-                          ExpectedSeconds(plan_, waits));
+  return MaxFirstWait(route_->aim, ElapsedNow() - exchange_->Arrived(),
+                      ExpectedSeconds(plan_, waits));
 }
 
 /** When the answer must have begun, or, once it has, ended. */
--- a/Source/Gateway/wgGatewayRequest.h
+++ b/Source/Gateway/wgGatewayRequest.h
@@ -94,7 +94,7 @@
   HttpHead head;
   std::string body;
   Elapsed sent;
-  double readSeconds = 0.0;
+  double prefillSeconds = 0.0;
   PlacedRead placed;
   bool headSeen = false;
   bool saidNotRun = false;
@@ -196,13 +196,13 @@
   ChoiceQuery MakeChoiceQuery() const;
   std::vector<DirectoryEndpoint*> OwnCandidates() const;
   bool WantsVersion() const;
-  void AskToSend(const DirectoryEndpoint& endpoint, double readSeconds,
+  void AskToSend(const DirectoryEndpoint& endpoint, double prefillSeconds,
                  const PlacedRead& placed);
-  void OnPermit(const std::string& id, bool granted, double readSeconds,
+  void OnPermit(const std::string& id, bool granted, double prefillSeconds,
                 const PlacedRead& placed);
   absl::string_view WhyNoEndpoint() const;
   DirectoryEndpoint* ChooseEndpointFor(
-    absl::Span<DirectoryEndpoint* const> endpoints, double& readSeconds);
+    absl::Span<DirectoryEndpoint* const> endpoints, double& prefillSeconds);
   void AskForEngine();
   void OnEngineChosen(const PlacedRead& placed,
                       const wire::EngineAnswer& answer);
@@ -212,7 +212,7 @@
   void EndRead(const EngineReadResult& result);
   std::int64_t ResultBytes() const;
   HttpRequest MakeForward(const DirectoryEndpoint& endpoint) const;
-  void StartAttempt(DirectoryEndpoint& endpoint, double readSeconds,
+  void StartAttempt(DirectoryEndpoint& endpoint, double prefillSeconds,
                     const PlacedRead& placed);
   bool OnHead(const HttpHead& head);
   void OnBody(absl::string_view bytes);
--- a/Source/Gateway/wgGatewayRequestAdmission.cxx
+++ b/Source/Gateway/wgGatewayRequestAdmission.cxx
@@ -74,9 +74,9 @@
   limits.spent = now - firstTried_;
   limits.aim = route_->aim;
   limits.deadline = AnswerBy() - now;
-  limits.cameBack = CameBack();
+  limits.isRetry = CameBack();
   windows_ = PlanChain(plan_, FullCallSeconds(), limits);
-  if (!windows_.isPossible) {
+  if (!windows_.isFeasible) {
     SayNotRun("no_time");
     return;
   }
@@ -113,13 +113,14 @@
     }
     const auto& answer = answers[next++];
     judged[i] =
-      answer ? PoolAnswer{ answer->granted(), answer->late(), false,
-                           absl::Milliseconds(answer->clear_ms()),
-                           absl::Milliseconds(answer->retry_ms()) }
-             : GuessAnswer(windows_.stages[i],
-                           shared_.stages.Waiting(stages_[i].reserved.pool));
+      answer
+        ? PoolAnswer{ answer->granted(), answer->late(), false,
+                      absl::Milliseconds(answer->clear_ms()),
+                      absl::Milliseconds(answer->retry_ms()) }
+        : EstimateAnswer(windows_.stages[i],
+                         shared_.stages.Waiting(stages_[i].reserved.pool));
   }
-  const ChainVerdict verdict = JudgeChain(windows_, judged);
+  const ChainVerdict verdict = EvaluateChain(windows_, judged);
   LogAdmission(verdict, judged);
   if (!verdict.admitted) {
     RefuseChain(verdict);
@@ -194,7 +195,7 @@
       pools.push_back(
         { { "service", route_->stages[i].service },
           { "granted", answers[i].granted },
-          { "own_guess", answers[i].isOwnGuess },
+          { "own_guess", answers[i].isOwnEstimate },
           { "would_wait_ms", absl::ToInt64Milliseconds(answers[i].clear) },
           { "start_by_ms", absl::ToInt64Milliseconds(window.startBy) } });
     }
--- a/Source/Gateway/wgGatewayRequestAttempts.cxx
+++ b/Source/Gateway/wgGatewayRequestAttempts.cxx
@@ -79,7 +79,7 @@
 }
 
 DirectoryEndpoint* GatewayRequest::ChooseEndpointFor(
-  absl::Span<DirectoryEndpoint* const> endpoints, double& readSeconds)
+  absl::Span<DirectoryEndpoint* const> endpoints, double& prefillSeconds)
 {
   const ChoiceQuery query = MakeChoiceQuery();
   if (!IsForEngine()) {
@@ -87,7 +87,7 @@
   }
   const EngineChoice choice =
     ChooseEngine(endpoints, prompt_, shared_.speed, query);
-  readSeconds = choice.readSeconds;
+  prefillSeconds = choice.prefillSeconds;
   return choice.endpoint;
 }
 
@@ -117,18 +117,18 @@
 /** Chooses by what this box knows itself. */
 void GatewayRequest::SendToOwnChoice()
 {
-  double readSeconds = 0.0;
+  double prefillSeconds = 0.0;
   DirectoryEndpoint* endpoint =
-    ChooseEndpointFor(OwnCandidates(), readSeconds);
+    ChooseEndpointFor(OwnCandidates(), prefillSeconds);
   if (endpoint == nullptr) {
     AfterFailure(AttemptKnowledge::NotSent, WhyNoEndpoint());
     return;
   }
   if (IsLimited(*endpoint)) {
-    AskToSend(*endpoint, readSeconds, {});
+    AskToSend(*endpoint, prefillSeconds, {});
     return;
   }
-  StartAttempt(*endpoint, readSeconds, {});
+  StartAttempt(*endpoint, prefillSeconds, {});
 }
 
 absl::string_view GatewayRequest::WhyNoEndpoint() const
@@ -140,33 +140,33 @@
     if (IsLimited(*endpoint)) {
       return EndpointsLimitedReason;
     }
-    why = IsResting(endpoint->terms, now) ? EndpointsRestReason : why;
+    why = IsBackingOff(endpoint->terms, now) ? EndpointsRestReason : why;
   }
   return why;
 }
 
 void GatewayRequest::AskToSend(const DirectoryEndpoint& endpoint,
-                               double readSeconds, const PlacedRead& placed)
+                               double prefillSeconds, const PlacedRead& placed)
 {
-  shared_.permits.Ask(endpoint,
-                      [weak = weak_from_this(), id = endpoint.id, readSeconds,
-                       placed, &engines = shared_.engines](bool granted) {
-                        auto self = weak.lock();
-                        if (self && !self->ended_) {
-                          self->OnPermit(id, granted, readSeconds, placed);
-                        } else {
-                          engines.End(placed, {});
-                        }
-                      });
+  shared_.permits.Ask(endpoint, [weak = weak_from_this(), id = endpoint.id,
+                                 prefillSeconds, placed,
+                                 &engines = shared_.engines](bool granted) {
+    auto self = weak.lock();
+    if (self && !self->ended_) {
+      self->OnPermit(id, granted, prefillSeconds, placed);
+    } else {
+      engines.End(placed, {});
+    }
+  });
 }
 
 /** Another endpoint is chosen where none was granted. */
 void GatewayRequest::OnPermit(const std::string& id, bool granted,
-                              double readSeconds, const PlacedRead& placed)
+                              double prefillSeconds, const PlacedRead& placed)
 {
   DirectoryEndpoint* endpoint = FindChosen(id);
   if (granted && endpoint != nullptr && HasTimeLeft()) {
-    StartAttempt(*endpoint, readSeconds, placed);
+    StartAttempt(*endpoint, prefillSeconds, placed);
     return;
   }
   shared_.engines.End(placed, {});
@@ -194,12 +194,13 @@
 }
 
 void GatewayRequest::StartAttempt(DirectoryEndpoint& endpoint,
-                                  double readSeconds, const PlacedRead& placed)
+                                  double prefillSeconds,
+                                  const PlacedRead& placed)
 {
   attempt_.emplace();
   attempt_->placed = placed;
   attempt_->endpoint = endpoint.id;
-  attempt_->readSeconds = readSeconds;
+  attempt_->prefillSeconds = prefillSeconds;
   attempt_->sent = ElapsedNow();
   sentAt_ = attempt_->sent;
   ++attempts_;
@@ -207,7 +208,7 @@
     shared_.engines.NoteSent(endpoint.id, prompt_);
   }
   ++endpoint.running;
-  endpoint.pendingSeconds += readSeconds;
+  endpoint.pendingSeconds += prefillSeconds;
   HttpCallOptions options;
   options.answerHasBody = exchange_->Request().method() != http::verb::head;
   if (route_->repetition == Repetition::RunOnce) {
--- a/Source/Gateway/wgGatewayRequestEngine.cxx
+++ b/Source/Gateway/wgGatewayRequestEngine.cxx
@@ -95,13 +95,13 @@
     return;
   }
   if (DirectoryEndpoint* endpoint = FindChosen(answer.endpoint())) {
-    const double readSeconds =
+    const double prefillSeconds =
       static_cast<double>(answer.read_us()) / MicrosInSecond;
     if (IsLimited(*endpoint) && !answer.counted()) {
       // The box that was asked had not heard of the limit.
-      AskToSend(*endpoint, readSeconds, placed);
+      AskToSend(*endpoint, prefillSeconds, placed);
     } else {
-      StartAttempt(*endpoint, readSeconds, placed);
+      StartAttempt(*endpoint, prefillSeconds, placed);
     }
     return;
   }
@@ -133,9 +133,9 @@
   if (DirectoryEndpoint* endpoint =
         FindEndpoint(shared_.directory, attempt_->endpoint)) {
     endpoint->pendingSeconds =
-      std::max(0.0, endpoint->pendingSeconds - attempt_->readSeconds);
+      std::max(0.0, endpoint->pendingSeconds - attempt_->prefillSeconds);
   }
-  attempt_->readSeconds = 0.0;
+  attempt_->prefillSeconds = 0.0;
 }
 
 } // namespace wg
--- a/Source/Gateway/wgGatewayRequestStages.cxx
+++ b/Source/Gateway/wgGatewayRequestStages.cxx
@@ -68,7 +68,7 @@
 StagePlan GatewayRequest::MakePlan() const
 {
   StagePlan plan;
-  plan.readSeconds = ReadSeconds();
+  plan.prefillSeconds = ReadSeconds();
   for (std::size_t i = 0; i < stages_.size(); ++i) {
     plan.stages.push_back({ route_->stages[i].after, OwnSeconds(i) });
   }
--- a/Source/Gateway/wgResultReleaser.cxx
+++ b/Source/Gateway/wgResultReleaser.cxx
@@ -58,7 +58,7 @@
   const DirectoryEndpoint* maker = FindByAddress(directory_, address);
   const bool isClosed =
     maker != nullptr &&
-    (IsLimited(*maker) || IsResting(maker->terms, ElapsedNow()));
+    (IsLimited(*maker) || IsBackingOff(maker->terms, ElapsedNow()));
   if (isClosed) { // work needs what its limit allows
     metrics_.Count("releases_left_out");
     return;
--- a/Source/Gateway/wgSendPermits.cxx
+++ b/Source/Gateway/wgSendPermits.cxx
@@ -28,7 +28,7 @@
   limit.set_is_limited(endpoint.terms.perSecond.has_value());
   limit.set_per_second(endpoint.terms.perSecond.value_or(0.0));
   limit.set_age_ms(
-    absl::ToInt64Milliseconds(ElapsedNow() - endpoint.terms.limitTold));
+    absl::ToInt64Milliseconds(ElapsedNow() - endpoint.terms.limitReported));
   return limit;
 }
 
@@ -110,7 +110,7 @@
   if (isNew) {
     found->second.filled = now;
   }
-  return TimeUntilSend(found->second, RateOf(endpoint, pool), now);
+  return TimeUntilToken(found->second, RateOf(endpoint, pool), now);
 }
 
 bool SendPermits::IsFree(const DirectoryEndpoint& endpoint,
@@ -123,7 +123,7 @@
                        const StagePoolKey& pool)
 {
   if (IsLimited(endpoint)) {
-    TakeSend(buckets_[endpoint.id], RateOf(endpoint, pool), ElapsedNow());
+    TryTakeToken(buckets_[endpoint.id], RateOf(endpoint, pool), ElapsedNow());
     metrics_.Count("sends_permitted");
   }
 }
--- a/Source/Gateway/wgStageCoordinator.cxx
+++ b/Source/Gateway/wgStageCoordinator.cxx
@@ -133,14 +133,14 @@
   const StagePoolKey key{ work.service(), work.pool_hall() };
   StagePool& pool = PoolOf(key);
   SyncServers(key, pool);
-  const AccountStandings standings = JudgeAccounts(pool, now);
+  const AccountStandings standings = EvaluateAccounts(pool, now);
   const StagePiece piece = MakePiece(work, now);
   const double wait = ExpectedWaitSeconds(
     pool, piece, static_cast<std::size_t>(work.items_size()), standings, now);
   if (absl::Seconds(wait) <= absl::Milliseconds(work.admit_ms())) {
     return false;
   }
-  const bool exceeds = UsesOnlyLeftovers(standings, piece.account);
+  const bool exceeds = IsOverShare(standings, piece.account);
   metrics_.Count("stage_works_refused");
   metrics_.Count("stage_works_refused_over_share", exceeds ? 1 : 0);
   log_.Write(LogWeight::Routine, "stage_work_refused",
@@ -348,7 +348,7 @@
   const absl::Duration wait = permits_.TimeUntilFree(endpoint, key);
   const Elapsed limited =
     wait > absl::ZeroDuration() ? ElapsedNow() + wait : Elapsed();
-  return std::max(limited, endpoint.terms.restUntil);
+  return std::max(limited, endpoint.terms.backoffUntil);
 }
 
 /** Takes new endpoints in, and out those that take no new work. */
@@ -555,7 +555,7 @@
       { { "endpoint", server.id },
         { "calls", server.calls.size() },
         { "room_used", server.roomUsed },
-        { "room_short", IsRoomShort(server.roomEvidence, now) },
+        { "room_short", IsBufferFull(server.roomEvidence, now) },
         { "slowness", SlownessNow(server, now) },
         { "avoided", server.avoidUntil > now } });
   }
@@ -569,8 +569,8 @@
                { "waiting", pool.waiting.size() },
                { "late", late },
                { "room", pool.limits.roomBytes },
-               { "over_share",
-                 MostExceeding(JudgeAccounts(pool, now), MostAccountsLogged) },
+               { "over_share", FurthestOverShare(EvaluateAccounts(pool, now),
+                                                 MostAccountsLogged) },
                { "servers", std::move(servers) } });
 }
 
@@ -650,7 +650,7 @@
   Work& work = node.mapped();
   const double wait = ExpectedWaitSeconds(PoolOf(work.pool), ElapsedNow());
   work.reply.set_waiting_ms(absl::ToInt64Milliseconds(absl::Seconds(wait)));
-  work.reply.set_room_scarce(IsRoomScarce(PoolOf(work.pool)));
+  work.reply.set_room_scarce(AreBuffersScarce(PoolOf(work.pool)));
   // Not at once: what is done then may change the pools.
   boost::asio::post(loop_, [done = std::move(work.done),
                             reply = std::move(work.reply)] { done(reply); });
--- a/Source/Gateway/wgStageCoordinatorRoom.cxx
+++ b/Source/Gateway/wgStageCoordinatorRoom.cxx
@@ -14,7 +14,7 @@
   switch (verdict) {
     case InputVerdict::CallOverdue:
       return "call_overdue";
-    case InputVerdict::RoomShort:
+    case InputVerdict::BufferFull:
       return "room_short";
     case InputVerdict::RecentLoss:
       return "recent_loss";
@@ -61,7 +61,7 @@
   }
   open.fetchedTimer = std::make_unique<LoopTimer>(
     loop_, absl::ToChronoMicroseconds(
-             absl::Seconds(open.call.expectedSeconds * FetchedAfterShare)));
+             absl::Seconds(open.call.expectedSeconds * FetchedAfterFraction)));
   open.fetchedTimer->async_wait(
     [this, number](boost::system::error_code error) {
       auto found = calls_.find(number);
@@ -112,13 +112,13 @@
     }
     const OpenCall& open = call->second;
     const StageServer* server = ServerOf(open);
-    const bool lacksRoom =
-      server != nullptr && IsRoomShort(server->roomEvidence, now);
-    uses.push_back(
-      { open.started, absl::Seconds(open.call.expectedSeconds), lacksRoom });
+    const bool isBufferFull =
+      server != nullptr && IsBufferFull(server->roomEvidence, now);
+    uses.push_back({ open.started, absl::Seconds(open.call.expectedSeconds),
+                     isBufferFull });
   }
   auto loss = inputLosses_.find(work.pool);
-  return JudgeInputs(
+  return EvaluateInputs(
     waiting, uses, loss == inputLosses_.end() ? NeverLost : loss->second, now);
 }
 
@@ -202,14 +202,14 @@
   if (server == nullptr) {
     return;
   }
-  RoomAnswer answer;
+  BufferFullAnswer answer;
   answer.recordedAtSend = open.recordedAtSend;
   answer.recordedAtEnd = server->roomUsed;
   int refused = 0;
   for (std::size_t i = 0; i < results.size(); ++i) {
     const std::int64_t bytes = open.call.pieces[i].resultBytes;
     const auto state = results[i].state();
-    answer.notMade += state == ItemResult::DONE ? 0 : bytes;
+    answer.notExecuted += state == ItemResult::DONE ? 0 : bytes;
     if (state == ItemResult::NO_ROOM) {
       answer.refused += bytes;
       answer.smallestRefused =
@@ -230,13 +230,13 @@
                { "pieces", results.size() },
                { "refused", refused },
                { "room_recorded", answer.recordedAtEnd },
-               { "room_bound", RoomBound(server->roomEvidence, now) } });
+               { "room_bound", BufferBound(server->roomEvidence, now) } });
 }
 
 void StageCoordinator::BoundRoom(StagePool& pool, Elapsed now)
 {
   for (StageServer& server : pool.servers) {
-    server.roomBound = RoomBound(server.roomEvidence, now);
+    server.roomBound = BufferBound(server.roomEvidence, now);
   }
 }
 
--- a/Source/Gateway/wgStagePool.cxx
+++ b/Source/Gateway/wgStagePool.cxx
@@ -105,7 +105,7 @@
   {
     if (account_ == nullptr || *account_ != piece.account) {
       account_ = &piece.account;
-      exceeds_ = UsesOnlyLeftovers(standings_, piece.account);
+      exceeds_ = IsOverShare(standings_, piece.account);
     }
     order.exceeds = exceeds_;
     if (!exceeds_) {
@@ -419,7 +419,7 @@
 /** Moves back what exceeds its share, where anything does. */
 void OrderByShares(StagePool& pool, absl::Span<PieceOrder> orders, Elapsed now)
 {
-  const AccountStandings standings = JudgeAccounts(pool, now);
+  const AccountStandings standings = EvaluateAccounts(pool, now);
   ShareOrder shares(standings);
   if (shares.IsNeeded()) {
     for (PieceOrder& order : orders) {
@@ -487,14 +487,15 @@
   return now + absl::Seconds(ExpectedCallSeconds(limits, 1)) > piece.finishBy;
 }
 
-bool IsRoomScarce(const StagePool& pool)
+bool AreBuffersScarce(const StagePool& pool)
 {
   std::int64_t used = 0;
   for (const StageServer& server : pool.servers) {
     used += server.roomUsed;
   }
-  return IsRoomScarce(used, pool.limits.roomBytes *
-                              static_cast<std::int64_t>(pool.servers.size()));
+  return AreBuffersScarce(used,
+                          pool.limits.roomBytes *
+                            static_cast<std::int64_t>(pool.servers.size()));
 }
 
 double ExpectedCallSeconds(const StageLimits& limits, std::size_t pieces)
@@ -592,14 +593,14 @@
   return demands;
 }
 
-AccountStandings JudgeAccounts(const StagePool& pool, Elapsed now)
+AccountStandings EvaluateAccounts(const StagePool& pool, Elapsed now)
 {
   const absl::Duration wait = absl::Seconds(WaitSeconds(
     pool, TimeBacklog(pool, now), static_cast<double>(pool.waiting.size())));
   if (wait <= ContendedWait) { // spares the demands
     return {};
   }
-  return JudgeAccounts(pool.shares, DemandsOf(pool), wait, now);
+  return EvaluateAccounts(pool.shares, DemandsOf(pool), wait, now);
 }
 
 std::vector<StagePiece> TakeHopelessPieces(StagePool& pool, Elapsed now)
@@ -656,7 +657,7 @@
                            std::size_t piecesOfWork, Elapsed now)
 {
   return ExpectedWaitSeconds(pool, piece, piecesOfWork,
-                             JudgeAccounts(pool, now), now);
+                             EvaluateAccounts(pool, now), now);
 }
 
 double ExpectedWaitSeconds(const StagePool& pool, const StagePiece& piece,
@@ -702,7 +703,7 @@
 
 void TakeReport(StageServer& server, const KnownLoad& known, Elapsed now)
 {
-  const EndpointLoad* load = LoadNow(known, server.id, now);
+  const EndpointLoad* load = FreshLoad(known, server.id, now);
   StageReports& reports = server.reports;
   if (load == nullptr ||
       (reports.load && load->reported <= reports.load->reported)) {
--- a/Source/Gateway/wgStagePool.h
+++ b/Source/Gateway/wgStagePool.h
@@ -66,11 +66,11 @@
   std::string hall;
   double slowness = 1.0; // measured against what calls should take
   Elapsed slownessNoted;
-  Elapsed avoidUntil;        // after failures
-  Elapsed closedUntil;       // it takes no more calls than it has had
-  std::int64_t roomUsed = 0; // bytes of results that it keeps or makes
-  RoomEvidence roomEvidence; // of its last answer that refused results
-  std::int64_t roomBound = UnboundedRoom;        // what this allows now
+  Elapsed avoidUntil;          // after failures
+  Elapsed closedUntil;         // it takes no more calls than it has had
+  std::int64_t roomUsed = 0;   // bytes of results that it keeps or makes
+  BufferEvidence roomEvidence; // of its last answer that refused results
+  std::int64_t roomBound = UnboundedBuffer;      // what this allows now
   std::map<std::uint64_t, StageCallState> calls; // by number of the call
   StageReports reports;
 };
@@ -133,7 +133,7 @@
 /** \brief The accounts that exceed their shares now. The pool's wait counts
  * late pieces too, as accounts compete for the places that are left to them.
  */
-AccountStandings JudgeAccounts(const StagePool& pool, Elapsed now);
+AccountStandings EvaluateAccounts(const StagePool& pool, Elapsed now);
 
 /** \brief Takes out the pieces whose requests are known to end unserved:
  * behind what goes before them, they and what comes after them would be made
@@ -146,7 +146,7 @@
                                    absl::Span<const std::uint64_t> tickets);
 
 /** \brief Whether results take much of the room that its endpoints have. */
-bool IsRoomScarce(const StagePool& pool);
+bool AreBuffersScarce(const StagePool& pool);
 
 /** \brief What a call of so many pieces should take, in seconds. */
 double ExpectedCallSeconds(const StageLimits& limits, std::size_t pieces);
--- a/Source/Gateway/wgStageReservations.cxx
+++ b/Source/Gateway/wgStageReservations.cxx
@@ -51,7 +51,7 @@
   for (const auto& [key, reservation] : reservations.held) {
     demands[reservation.account].ms += reservation.work.pieces * msOfPiece;
   }
-  return JudgeAccounts(pool.shares, demands, wait, now);
+  return EvaluateAccounts(pool.shares, demands, wait, now);
 }
 
 /** Work of an account above its share goes behind that of others, of its rank
@@ -112,8 +112,8 @@
   judged.isLate = true;
   judged.work.order = ServiceOrderLate(now, judged.work.rank);
   judged.work.startBy = now + absl::Milliseconds(ask.late_start_by_ms());
-  const PoolRate left =
-    RateLeft(rate, reservations.demand, std::numeric_limits<int>::max(), now);
+  const PoolRate left = RemainingRate(rate, reservations.demand,
+                                      std::numeric_limits<int>::max(), now);
   const WorkForecast forecast = ForecastWork(left, pending, judged.work, now);
   judged.granted = forecast.isInTime;
 }
@@ -126,15 +126,15 @@
   Judged judged;
   judged.work = AskedWork(ask, now);
   const absl::Duration toClear =
-    absl::Seconds(SecondsToClear(rate, pending, now));
-  if (UsesOnlyLeftovers(StandingsOf(pool, reservations, toClear, now),
-                        ask.account())) {
+    absl::Seconds(SecondsToDrain(rate, pending, now));
+  if (IsOverShare(StandingsOf(pool, reservations, toClear, now),
+                  ask.account())) {
     MoveBehind(pending, now, judged.work);
   }
   const PoolRate left =
     HasFreePlaces(pool, now)
       ? rate
-      : RateLeft(rate, reservations.demand, judged.work.rank, now);
+      : RemainingRate(rate, reservations.demand, judged.work.rank, now);
   const WorkForecast forecast = ForecastWork(left, pending, judged.work, now);
   judged.wait = forecast.wait;
   judged.granted =
@@ -209,7 +209,7 @@
                                ask.account() };
   } else {
     const absl::Duration retry =
-      PromiseReturn(reservations.promised, rate, pending,
+      ScheduleRetry(reservations.promised, rate, pending,
                     static_cast<double>(ask.pieces()), now);
     answer.set_retry_ms(
       absl::ToInt64Milliseconds(std::max(LeastRetry, retry)));
--- a/Source/Gateway/wgStageReservations.h
+++ b/Source/Gateway/wgStageReservations.h
@@ -30,7 +30,7 @@
   std::map<ReservationKey, Reservation> held;
   RankDemand demand;
   BusyRate busy;
-  PromisedReturns promised;
+  ScheduledRetries promised;
   Elapsed serversSynced; // when its endpoints were last compared
 };
 
--- a/Source/Gateway/wgTermsTracker.cxx
+++ b/Source/Gateway/wgTermsTracker.cxx
@@ -29,8 +29,8 @@
                { { "endpoint", endpoint }, { "fields", told.unreadable } });
   }
   const Elapsed now = ElapsedNow();
-  const TermsChange change = TakeTerms(known->terms, told, sent, now);
-  if (IsAny(change)) {
+  const TermsChange change = ApplyTerms(known->terms, told, sent, now);
+  if (HasChange(change)) {
     OnChange(*known, change, now);
   }
   if (answered_) {
@@ -45,7 +45,7 @@
     return;
   }
   const EndpointLoadReport report = dialect_.readLoad(head);
-  TakeLoad(endpoint.load, report, endpoint.id, ElapsedNow());
+  ApplyLoadReport(endpoint.load, report, endpoint.id, ElapsedNow());
   if (!report.isUnreadable) {
     return;
   }
@@ -62,7 +62,7 @@
                               std::optional<double> perSecond, Elapsed told)
 {
   TermsChange change;
-  change.limit = TakeLimit(endpoint.terms, perSecond, told);
+  change.limit = ApplyLimit(endpoint.terms, perSecond, told);
   if (change.limit) {
     OnChange(endpoint, change, ElapsedNow());
   }
@@ -94,13 +94,13 @@
                terms.perSecond ? "endpoint_limit" : "endpoint_limit_ended",
                std::move(fields));
   }
-  if (change.rest) {
+  if (change.backoff) {
     metrics_.Count("rests_asked");
     log_.Write(
       LogWeight::Notable, "endpoint_rest",
       { { "endpoint", endpoint.id },
         { "service", endpoint.service },
-        { "rest_ms", absl::ToInt64Milliseconds(terms.restUntil - now) } });
+        { "rest_ms", absl::ToInt64Milliseconds(terms.backoffUntil - now) } });
   }
   if (change.leaving) {
     metrics_.Count("leavings_told");
--- a/Source/Membership/wgMembership.cxx
+++ b/Source/Membership/wgMembership.cxx
@@ -34,7 +34,7 @@
 {
   for (auto it = membership.others.begin(); it != membership.others.end();) {
     const bool expired =
-      now - it->second.heard > membership.timing.removeAfter;
+      now - it->second.lastHeartbeat > membership.timing.removeAfter;
     it = expired ? membership.others.erase(it) : std::next(it);
   }
 }
@@ -50,7 +50,7 @@
   }
   std::sort(byHeartbeat.begin(), byHeartbeat.end(),
             [](const KnownMember* a, const KnownMember* b) {
-              return a->heard > b->heard;
+              return a->lastHeartbeat > b->lastHeartbeat;
             });
   wire::Gossip gossip;
   *gossip.add_members() = membership.self;
@@ -77,7 +77,7 @@
   std::vector<std::string> targets;
   std::set<std::string> reachable;
   for (const auto& [box, member] : membership.others) {
-    if (IsAlive(membership, member, now)) {
+    if (IsReachable(membership, member, now)) {
       targets.push_back(member.member.address());
       reachable.insert(member.member.address());
     }
@@ -139,18 +139,18 @@
   }
 }
 
-bool IsAlive(const Membership& membership, const KnownMember& member,
-             Elapsed now)
+bool IsReachable(const Membership& membership, const KnownMember& member,
+                 Elapsed now)
 {
-  return now - member.heard <= membership.timing.suspectAfter;
+  return now - member.lastHeartbeat <= membership.timing.suspectAfter;
 }
 
-std::vector<const KnownMember*> AliveMembers(const Membership& membership,
-                                             Elapsed now)
+std::vector<const KnownMember*> ReachableMembers(const Membership& membership,
+                                                 Elapsed now)
 {
   std::vector<const KnownMember*> reachable;
   for (const auto& [box, known] : membership.others) {
-    if (IsAlive(membership, known, now) && !known.member.leaving()) {
+    if (IsReachable(membership, known, now) && !known.member.leaving()) {
       reachable.push_back(&known);
     }
   }
--- a/Source/Membership/wgMembership.h
+++ b/Source/Membership/wgMembership.h
@@ -30,7 +30,7 @@
 struct KnownMember
 {
   wire::Member member;
-  Elapsed heard; // time at which its newest heartbeat was received
+  Elapsed lastHeartbeat; // time at which its newest heartbeat was received
 };
 
 /** \brief One entry box's view of all entry boxes. */
@@ -77,11 +77,11 @@
 /** \brief Returns whether a member's newest heartbeat was received within
  * `suspectAfter`.
  */
-bool IsAlive(const Membership& membership, const KnownMember& member,
-             Elapsed now);
+bool IsReachable(const Membership& membership, const KnownMember& member,
+                 Elapsed now);
 
 /** \brief Returns the other boxes that are reachable and not leaving. */
-std::vector<const KnownMember*> AliveMembers(const Membership& membership,
-                                             Elapsed now);
+std::vector<const KnownMember*> ReachableMembers(const Membership& membership,
+                                                 Elapsed now);
 
 } // namespace wg
--- a/Source/Storage/wgRecord.cxx
+++ b/Source/Storage/wgRecord.cxx
@@ -41,8 +41,8 @@
 }
 
 /** Returns the size in bytes of the valid record at an offset, if any. */
-std::optional<std::size_t> SoundRecordAt(absl::string_view bytes,
-                                         std::size_t at)
+std::optional<std::size_t> ValidRecordSize(absl::string_view bytes,
+                                           std::size_t at)
 {
   if (bytes.size() - at < HeaderBytes ||
       ReadLittleEndian<std::uint32_t>(bytes, at) != Magic) {
@@ -63,10 +63,10 @@
   return HeaderBytes + length;
 }
 
-bool AnySoundRecordAfter(absl::string_view bytes, std::size_t at)
+bool HasValidRecordAfter(absl::string_view bytes, std::size_t at)
 {
   for (std::size_t i = at + 1; i + HeaderBytes <= bytes.size(); ++i) {
-    if (SoundRecordAt(bytes, i)) {
+    if (ValidRecordSize(bytes, i)) {
       return true;
     }
   }
@@ -88,20 +88,20 @@
 Outcome<RecordsRead> ReadRecords(absl::string_view bytes)
 {
   RecordsRead read;
-  while (read.soundBytes < bytes.size()) {
-    const auto size = SoundRecordAt(bytes, read.soundBytes);
+  while (read.validBytes < bytes.size()) {
+    const auto size = ValidRecordSize(bytes, read.validBytes);
     if (!size) {
       break;
     }
-    const std::size_t at = read.soundBytes;
+    const std::size_t at = read.validBytes;
     read.records.push_back(
       { static_cast<RecordType>(bytes[at + 4]),
         std::string(bytes.substr(at + HeaderBytes, *size - HeaderBytes)) });
-    read.soundBytes += *size;
+    read.validBytes += *size;
   }
-  if (read.soundBytes < bytes.size() &&
-      AnySoundRecordAfter(bytes, read.soundBytes)) {
-    return Error{ absl::StrCat("The record at byte ", read.soundBytes,
+  if (read.validBytes < bytes.size() &&
+      HasValidRecordAfter(bytes, read.validBytes)) {
+    return Error{ absl::StrCat("The record at byte ", read.validBytes,
                                " is damaged, but valid records follow it.") };
   }
   return read;
--- a/Source/Storage/wgRecord.h
+++ b/Source/Storage/wgRecord.h
@@ -42,7 +42,7 @@
 struct RecordsRead
 {
   std::vector<Record> records;
-  std::size_t soundBytes = 0;
+  std::size_t validBytes = 0;
 };
 
 /** \brief Reads all records of a file.
--- a/Source/Storage/wgReplicaStore.cxx
+++ b/Source/Storage/wgReplicaStore.cxx
@@ -170,7 +170,7 @@
   }
   auto read = ReadRecords(Value(bytes));
   const bool valid = Succeeded(read) && Value(read).records.size() == 1 &&
-                     Value(read).soundBytes == Value(bytes).size();
+                     Value(read).validBytes == Value(bytes).size();
   wire::JoinRequest identity;
   if (!valid || !identity.ParseFromString(Value(read).records[0].payload)) {
     return Error{ "The identity file is damaged." };
@@ -191,7 +191,7 @@
   }
   auto read = ReadRecords(Value(bytes));
   const bool valid = Succeeded(read) && Value(read).records.size() == 1 &&
-                     Value(read).soundBytes == Value(bytes).size();
+                     Value(read).validBytes == Value(bytes).size();
   if (!valid ||
       !replica.snapshot.ParseFromString(Value(read).records[0].payload)) {
     return Error{ "The snapshot file is damaged." };
@@ -222,7 +222,7 @@
       return Error{ absl::StrCat("Record ", i, " of the log is invalid.") };
     }
   }
-  if (auto marked = CheckSyncedMark(Value(read).soundBytes);
+  if (auto marked = CheckSyncedMark(Value(read).validBytes);
       !Succeeded(marked)) {
     return marked;
   }
@@ -236,10 +236,10 @@
     replica.log.Reset(snapshotIndex, replica.snapshot.term());
     return RewriteLog(replica);
   }
-  return OpenLog(Value(read).soundBytes);
+  return OpenLog(Value(read).validBytes);
 }
 
-Outcome<Done> ReplicaStore::CheckSyncedMark(std::size_t soundBytes)
+Outcome<Done> ReplicaStore::CheckSyncedMark(std::size_t validBytes)
 {
   Outcome<std::string> text = ReadWholeFile(Path(folder_, SyncedName));
   if (!Succeeded(text)) {
@@ -252,8 +252,8 @@
   const bool applies =
     words.size() >= 2 && absl::SimpleAtoi(words[0], &generation) &&
     absl::SimpleAtoi(words[1], &synced) && generation == generation_;
-  if (applies && soundBytes < synced) {
-    return Error{ absl::StrCat("The log has ", soundBytes,
+  if (applies && validBytes < synced) {
+    return Error{ absl::StrCat("The log has ", validBytes,
                                " valid bytes, but ", synced,
                                " bytes were synced.") };
   }
@@ -265,7 +265,7 @@
 {
   replica.self.set_id(identity);
   replica.cluster.clear();
-  if (auto named = SetCluster(replica); !Succeeded(named)) {
+  if (auto named = SaveIdentity(replica); !Succeeded(named)) {
     return named;
   }
   return RewriteLog(replica);
@@ -281,7 +281,7 @@
   }
 }
 
-Outcome<Done> ReplicaStore::SetCluster(const Replica& replica)
+Outcome<Done> ReplicaStore::SaveIdentity(const Replica& replica)
 {
   wire::JoinRequest identity;
   *identity.mutable_who() = replica.self;
--- a/Source/Storage/wgReplicaStore.h
+++ b/Source/Storage/wgReplicaStore.h
@@ -15,7 +15,7 @@
 enum class FolderState
 {
   Fresh,  // no replica files: a new identity was created
-  Sound,  // all files valid: the stored replica was loaded
+  Valid,  // all files valid: the stored replica was loaded
   Damaged // files renamed to `*.damaged`: a new identity was created
 };
 
@@ -52,7 +52,7 @@
   const std::string& Damage() const { return damage_; }
 
   /** \brief Writes and syncs the replica's number and cluster. */
-  Outcome<Done> SetCluster(const Replica& replica);
+  Outcome<Done> SaveIdentity(const Replica& replica);
 
   /** \brief Writes and syncs the log records or snapshot of the actions.
    *
@@ -75,7 +75,7 @@
   Outcome<Done> LoadIdentity(Replica& replica);
   Outcome<Done> LoadSnapshot(Replica& replica);
   Outcome<Done> LoadLog(Replica& replica);
-  Outcome<Done> CheckSyncedMark(std::size_t soundBytes);
+  Outcome<Done> CheckSyncedMark(std::size_t validBytes);
   Outcome<Done> Initialize(std::uint64_t identity, Replica& replica);
   void RenameDamagedFiles();
   Outcome<Done> RewriteLog(const Replica& replica);
@@ -84,7 +84,7 @@
 
   FileOperations& files_;
   std::string folder_;
-  FolderState state_ = FolderState::Sound;
+  FolderState state_ = FolderState::Valid;
   std::string damage_;
   FileDescriptor lock_;
   FileDescriptor log_;
--- a/Tests/Agreement/wgElectionTest.cxx
+++ b/Tests/Agreement/wgElectionTest.cxx
@@ -53,7 +53,7 @@
   {
     std::vector<wg::wire::AgreementMessage> messages;
     for (Replica& replica : replicas) {
-      const wg::ReplicaActions actions = wg::TakeActions(replica);
+      const wg::ReplicaActions actions = wg::ExtractActions(replica);
       if (actions.NeedsSync()) {
         wg::OnSynced(replica);
       }
@@ -115,7 +115,7 @@
   request.set_term(5);
   request.set_cluster("c");
   wg::OnMessage(replica, request, cluster.now, cluster.random);
-  CHECK(wg::TakeActions(replica).messages.empty());
+  CHECK(wg::ExtractActions(replica).messages.empty());
   wg::wire::AgreementMessage heartbeat;
   heartbeat.set_kind(wg::wire::AgreementMessage::APPEND);
   heartbeat.set_from(3);
@@ -123,9 +123,9 @@
   heartbeat.set_term(5);
   heartbeat.set_cluster("c");
   wg::OnMessage(replica, heartbeat, cluster.now, cluster.random);
-  wg::TakeActions(replica);
+  wg::ExtractActions(replica);
   wg::OnTick(replica, replica.noVoteBefore, cluster.random);
-  for (const auto& outgoing : wg::TakeActions(replica).messages) {
+  for (const auto& outgoing : wg::ExtractActions(replica).messages) {
     CHECK(outgoing.message.kind() !=
           wg::wire::AgreementMessage::PRE_VOTE_REPLY);
   }
--- a/Tests/Agreement/wgFakeCluster.cxx
+++ b/Tests/Agreement/wgFakeCluster.cxx
@@ -44,8 +44,8 @@
   }
   boxes_[0].process.cluster = "c";
   boxes_[0].disk.cluster = "c";
-  FoundCluster(boxes_[0].process, Now(boxes_[0]));
-  WriteToDisk(boxes_[0], TakeActions(boxes_[0].process));
+  BootstrapCluster(boxes_[0].process, Now(boxes_[0]));
+  WriteToDisk(boxes_[0], ExtractActions(boxes_[0].process));
   OnSynced(boxes_[0].process);
 }
 
@@ -268,7 +268,7 @@
     if (!box.up) {
       continue;
     }
-    if (ShouldAskToJoin(box.process)) {
+    if (ShouldRequestJoin(box.process)) {
       RequestToJoin(box);
     }
     if (box.process.cluster.empty()) {
@@ -278,12 +278,12 @@
     if (box.process.role == ReplicaRole::Leader) {
       std::vector<JoiningReplica> joining;
       for (auto& [id, joiner] : joining_) {
-        joining.push_back({ joiner.who, joiner.lastAsked * box.clockRate });
+        joining.push_back({ joiner.who, joiner.lastRequest * box.clockRate });
       }
       RepairRules rules;
       rules.wanted = wanted_;
-      rules.spareAfter = StandbyAfter;
-      rules.spareLearns = spareLearns_;
+      rules.standbyAfter = StandbyAfter;
+      rules.standbysLearn = spareLearns_;
       const auto step = NextRepairStep(box.process, joining, rules, Now(box));
       if (step && ProposeVoters(box.process, *step, Now(box))) {
         ++counts_.voterChanges;
@@ -319,7 +319,7 @@
   }
   FakeBox* from = BoxOf(message.from());
   if (from != nullptr && Chance(0.5)) { // a broken connection is reported
-    OnNotDelivered(from->process, message.to(), message.sent_us());
+    OnDeliveryFailed(from->process, message.to(), message.sent_us());
     ExecuteActions(*from);
   }
 }
@@ -375,7 +375,7 @@
 /** Executes the actions as ControlNode does, with a crash at any point. */
 void FakeCluster::ExecuteActions(FakeBox& box)
 {
-  ReplicaActions actions = TakeActions(box.process);
+  ReplicaActions actions = ExtractActions(box.process);
   for (const OutgoingMessage& outgoing : actions.messages) {
     if (!outgoing.afterSync) {
       network_.push_back(outgoing.message);
@@ -419,7 +419,7 @@
   while (const wire::LogEntry* entry = NextCommitted(replica)) {
     box.chain = Chain(box.chain, entry->change());
     NoteCommitted(box, *entry);
-    Applied(replica, entry->index());
+    MarkApplied(replica, entry->index());
   }
   const bool due = replica.applied >= replica.snapshot.index() + CompactAfter;
   if (due && Chance(0.3)) {
--- a/Tests/Agreement/wgRepairTest.cxx
+++ b/Tests/Agreement/wgRepairTest.cxx
@@ -69,9 +69,9 @@
   };
   wg::RepairRules rules;
   CHECK_FALSE(wg::NextRepairStep(leader, joining, rules, now));
-  rules.spareAfter = absl::Seconds(3); // last contact with box c: 2 s ago
+  rules.standbyAfter = absl::Seconds(3); // last contact with box c: 2 s ago
   CHECK_FALSE(wg::NextRepairStep(leader, joining, rules, now));
-  rules.spareAfter = absl::Seconds(1);
+  rules.standbyAfter = absl::Seconds(1);
   auto step = wg::NextRepairStep(leader, joining, rules, now);
   REQUIRE(step);
   CHECK(wg::IsLearner(*step, 7));
@@ -111,7 +111,7 @@
   const absl::Duration now = absl::Seconds(100);
   const wg::Replica leader = Leader(now);
   wg::RepairRules rules;
-  rules.spareAfter = absl::Seconds(1);
+  rules.standbyAfter = absl::Seconds(1);
   rules.replacement = { "old", "b" };
   CHECK_FALSE(
     wg::NextRepairStep(leader, { { Voter(9, "old"), now } }, rules, now));
@@ -126,8 +126,8 @@
     { Voter(8, "lost"), now - absl::Milliseconds(100) }
   };
   wg::RepairRules rules;
-  rules.spareLearns = true;
-  rules.spareAfter = absl::Seconds(60);
+  rules.standbysLearn = true;
+  rules.standbyAfter = absl::Seconds(60);
   rules.replacement = { "lost", "other" };
   auto step = wg::NextRepairStep(leader, joining, rules, now);
   REQUIRE(step);
@@ -143,7 +143,7 @@
   REQUIRE(step);
   REQUIRE(step->learners_size() == 1);
   CHECK(wg::IsLearner(*step, 9));
-  // Once unresponsive for spareAfter, it is removed.
+  // Once unresponsive for standbyAfter, it is removed.
   const absl::Duration later = now + absl::Seconds(61);
   leader.peers[2].ackedSendTime = later;
   leader.peers[3].ackedSendTime = later;
--- a/Tests/Agreement/wgReplicationTest.cxx
+++ b/Tests/Agreement/wgReplicationTest.cxx
@@ -69,7 +69,7 @@
   void Exchange()
   {
     for (Replica& replica : replicas) {
-      const wg::ReplicaActions actions = wg::TakeActions(replica);
+      const wg::ReplicaActions actions = wg::ExtractActions(replica);
       if (actions.NeedsSync()) {
         wg::OnSynced(replica);
       }
@@ -103,7 +103,7 @@
     if (message.to() == down || message.from() == down) {
       const std::uint64_t other = down == message.to() ? message.from() : 0;
       if (other != 0) { // no connection, reported at once
-        wg::OnNotDelivered(replicas[other - 1], down, message.sent_us());
+        wg::OnDeliveryFailed(replicas[other - 1], down, message.sent_us());
       }
       return;
     }
@@ -203,7 +203,7 @@
     wg::StartReplica(restarted, voters.now, voters.random);
     CHECK(restarted.commit >= *index);
     while (const auto* entry = wg::NextCommitted(restarted)) {
-      wg::Applied(restarted, entry->index());
+      wg::MarkApplied(restarted, entry->index());
     }
     CHECK(restarted.applied >= *index);
   }
--- a/Tests/Bench/wgBench.cxx
+++ b/Tests/Bench/wgBench.cxx
@@ -12,10 +12,10 @@
 #include "wgChange.h"
 #include "wgConfigText.h"
 #include "wgMembership.h"
-#include "wgOutlook.h"
 #include "wgPeerAuth.h"
 #include "wgReplicaStore.h"
 #include "wgServiceState.h"
+#include "wgStageEstimate.h"
 #include "wgStagePool.h"
 
 namespace {
@@ -306,7 +306,7 @@
   }
   state.SetItemsProcessed(state.iterations() * pieces);
   state.counters["exceeding"] =
-    static_cast<double>(wg::JudgeAccounts(pool, now).exceeded.size());
+    static_cast<double>(wg::EvaluateAccounts(pool, now).exceeded.size());
 }
 BENCHMARK(JudgeWaitingPieces)
   ->Arg(1)
--- a/Tests/Control/wgFollowersTest.cxx
+++ b/Tests/Control/wgFollowersTest.cxx
@@ -39,8 +39,8 @@
     order.set_hall("h1");
     order.set_evacuate(evacuate);
     order.set_seen(wg::FindHallOrder(service.halls, "h1").number);
-    REQUIRE(wg::TakeHallOrder(service.halls, order) ==
-            wg::HallOrderTaken::Holds);
+    REQUIRE(wg::ApplyHallOrder(service.halls, order) ==
+            wg::HallOrderResult::Holds);
     wg::NoteHallOrder(registry, "h1", evacuate);
   }
 
--- a/Tests/Decision/wgAccountSharesTest.cxx
+++ b/Tests/Decision/wgAccountSharesTest.cxx
@@ -23,8 +23,8 @@
 bool Exceeds(const wg::AccountShares& shares,
              const wg::AccountDemands& demands, const std::string& account)
 {
-  return UsesOnlyLeftovers(JudgeAccounts(shares, demands, LongWait, Now),
-                           account);
+  return IsOverShare(EvaluateAccounts(shares, demands, LongWait, Now),
+                     account);
 }
 
 } // namespace
@@ -36,22 +36,22 @@
   ChargeWork(shares, { "small", 100.0 }, Now);
   const wg::AccountDemands demands = { { "large", { 500.0 } },
                                        { "small", { 500.0 } } };
-  CHECK(
-    JudgeAccounts(shares, demands, wg::ContendedWait, Now).exceeded.empty());
-  const auto standings = JudgeAccounts(
+  CHECK(EvaluateAccounts(shares, demands, wg::ContendedWait, Now)
+          .exceeded.empty());
+  const auto standings = EvaluateAccounts(
     shares, demands, wg::ContendedWait + absl::Milliseconds(1), Now);
-  CHECK(UsesOnlyLeftovers(standings, "large"));
-  CHECK_FALSE(UsesOnlyLeftovers(standings, "small"));
-  CHECK_FALSE(UsesOnlyLeftovers(standings, "unknown"));
+  CHECK(IsOverShare(standings, "large"));
+  CHECK_FALSE(IsOverShare(standings, "small"));
+  CHECK_FALSE(IsOverShare(standings, "unknown"));
 }
 
 TEST_CASE("A single account, or none, never exceeds a share")
 {
   wg::AccountShares shares;
-  CHECK(JudgeAccounts(shares, {}, LongWait, Now).exceeded.empty());
+  CHECK(EvaluateAccounts(shares, {}, LongWait, Now).exceeded.empty());
   ChargeWork(shares, { "", 900.0 }, Now);
-  CHECK(JudgeAccounts(shares, {}, LongWait, Now).exceeded.empty());
-  CHECK(JudgeAccounts(shares, { { "", { 5000.0 } } }, LongWait, Now)
+  CHECK(EvaluateAccounts(shares, {}, LongWait, Now).exceeded.empty());
+  CHECK(EvaluateAccounts(shares, { { "", { 5000.0 } } }, LongWait, Now)
           .exceeded.empty());
 }
 
@@ -79,7 +79,7 @@
   const wg::AccountDemands demands = { { "little", { 20.0 } },
                                        { "middle", { 400.0 } },
                                        { "much", { 400.0 } } };
-  const auto standings = JudgeAccounts(shares, demands, LongWait, Now);
+  const auto standings = EvaluateAccounts(shares, demands, LongWait, Now);
   REQUIRE(standings.exceeded.size() == 1);
   CHECK(standings.exceeded.at("much").used == Approx(570.0));
   CHECK(standings.exceeded.at("much").share == Approx(450.0));
@@ -105,7 +105,7 @@
   ChargeWork(shares, { "b", 1000.0 }, Now);
   const wg::AccountDemands demands = { { "a", { 2000.0 } },
                                        { "b", { 2000.0 } } };
-  CHECK(JudgeAccounts(shares, demands, LongWait, Now).exceeded.empty());
+  CHECK(EvaluateAccounts(shares, demands, LongWait, Now).exceeded.empty());
 }
 
 TEST_CASE("Work leaves the window step by step")
@@ -238,10 +238,10 @@
       }
       (allotted < used - 1e-6 ? low : high) = level;
     }
-    const auto standings = JudgeAccounts(shares, demands, LongWait, Now);
+    const auto standings = EvaluateAccounts(shares, demands, LongWait, Now);
     for (const Account& a : accounts) {
       CAPTURE(round, a.name, a.used, a.waiting, a.weight, high);
-      const bool exceeds = UsesOnlyLeftovers(standings, a.name);
+      const bool exceeds = IsOverShare(standings, a.name);
       if (a.used > 1.06 * high * a.weight) {
         CHECK(exceeds);
       }
@@ -260,8 +260,8 @@
     standings.exceeded[absl::StrCat("account-", i)] = { 200.0 + i * 10.0,
                                                         150.0 };
   }
-  CHECK(MostExceeding(standings, 2) ==
+  CHECK(FurthestOverShare(standings, 2) ==
         std::vector<std::string>{ "account-8", "account-7" });
-  CHECK(MostExceeding(standings, 20).size() == 9);
-  CHECK(wg::MostExceeding({}, 5).empty());
+  CHECK(FurthestOverShare(standings, 20).size() == 9);
+  CHECK(wg::FurthestOverShare({}, 5).empty());
 }
--- a/Tests/Decision/wgChainAdmissionTest.cxx
+++ b/Tests/Decision/wgChainAdmissionTest.cxx
@@ -14,7 +14,7 @@
   plan.stages = {
     { {}, 0.21 }, { {}, 0.2 }, { { 1 }, 0.22 }, { { 2 }, 0.22 }
   };
-  plan.readSeconds = 0.03;
+  plan.prefillSeconds = 0.03;
   return plan;
 }
 
@@ -40,7 +40,7 @@
 TEST_CASE("Each stage leaves time for the full calls that follow it")
 {
   const auto windows = wg::PlanChain(Plan(), FullCalls, Limits(1.8));
-  REQUIRE(windows.isPossible);
+  REQUIRE(windows.isFeasible);
   // The chain can wait 0.48 s in all; it uses half.
   CHECK(Seconds(windows.stages[1].startBy) == Approx(0.24));
   CHECK(Seconds(windows.stages[2].startBy) == Approx(0.24 + 0.37));
@@ -56,7 +56,7 @@
   "Where full calls leave no time, the request's own calls are counted")
 {
   const auto windows = wg::PlanChain(Plan(), FullCalls, Limits(1.2));
-  REQUIRE(windows.isPossible);
+  REQUIRE(windows.isFeasible);
   CHECK(Seconds(windows.stages[1].startBy) ==
         Approx((1.08 - 0.03 - 0.64) / 2));
 }
@@ -65,18 +65,18 @@
   "A request that can't meet its latency target is planned for its deadline")
 {
   const auto windows = wg::PlanChain(Plan(), FullCalls, Limits(0.5));
-  REQUIRE(windows.isPossible);
+  REQUIRE(windows.isFeasible);
   CHECK(windows.stages[1].startBy == wg::NoStart);
   CHECK(Seconds(windows.stages[1].lateStartBy) ==
         Approx((5.4 - 0.03 - 0.64) / 2));
-  CHECK_FALSE(wg::PlanChain(Plan(), FullCalls, Limits(0.5, 0.6)).isPossible);
+  CHECK_FALSE(wg::PlanChain(Plan(), FullCalls, Limits(0.5, 0.6)).isFeasible);
 }
 
 TEST_CASE("A retry is planned for its latency target and its deadline")
 {
   wg::ChainLimits limits = Limits(3.0, 4.5);
   limits.spent = absl::Seconds(1.5);
-  limits.cameBack = true;
+  limits.isRetry = true;
   const auto windows = wg::PlanChain(Plan(), FullCalls, limits);
   CHECK(Seconds(windows.stages[1].startBy) == Approx((1.2 - 0.03 - 1.11) / 2));
   CHECK(Seconds(windows.stages[1].lateStartBy) ==
@@ -93,7 +93,7 @@
   for (std::size_t i = 1; i < answers.size(); ++i) {
     answers[i].granted = true;
   }
-  CHECK(wg::JudgeChain(windows, answers).admitted);
+  CHECK(wg::EvaluateChain(windows, answers).admitted);
 }
 
 // Failure: a request whose later stage has no capacity is admitted by its
@@ -107,12 +107,12 @@
   for (wg::PoolAnswer& answer : answers) {
     answer.granted = true;
   }
-  CHECK(wg::JudgeChain(windows, answers).admitted);
+  CHECK(wg::EvaluateChain(windows, answers).admitted);
   answers[2].granted = false;
   answers[2].retry = absl::Seconds(2);
   answers[3].granted = false;
   answers[3].retry = absl::Seconds(3);
-  const wg::ChainVerdict verdict = wg::JudgeChain(windows, answers);
+  const wg::ChainVerdict verdict = wg::EvaluateChain(windows, answers);
   CHECK_FALSE(verdict.admitted);
   CHECK(verdict.refusedBy == 2);
   CHECK(verdict.retry == absl::Seconds(3));
@@ -125,9 +125,9 @@
   for (wg::PoolAnswer& answer : answers) {
     answer.granted = true;
   }
-  CHECK_FALSE(wg::JudgeChain(windows, answers).isLate);
+  CHECK_FALSE(wg::EvaluateChain(windows, answers).isLate);
   answers[3].isLate = true;
-  CHECK(wg::JudgeChain(windows, answers).isLate);
+  CHECK(wg::EvaluateChain(windows, answers).isLate);
 }
 
 // Failure: coordinators don't answer in a burst, and boxes admit all requests
@@ -137,13 +137,13 @@
   wg::StageWindow window;
   window.runs = true;
   window.startBy = absl::Seconds(1);
-  CHECK(wg::GuessAnswer(window, absl::ZeroDuration()).granted);
-  CHECK(wg::GuessAnswer(window, absl::Milliseconds(450)).granted);
-  CHECK_FALSE(wg::GuessAnswer(window, absl::Milliseconds(550)).granted);
+  CHECK(wg::EstimateAnswer(window, absl::ZeroDuration()).granted);
+  CHECK(wg::EstimateAnswer(window, absl::Milliseconds(450)).granted);
+  CHECK_FALSE(wg::EstimateAnswer(window, absl::Milliseconds(550)).granted);
   window.earliest = absl::Milliseconds(600); // the wait is over by then
-  CHECK(wg::GuessAnswer(window, absl::Milliseconds(550)).granted);
+  CHECK(wg::EstimateAnswer(window, absl::Milliseconds(550)).granted);
   window.startBy = wg::NoStart;
-  CHECK_FALSE(wg::GuessAnswer(window, absl::ZeroDuration()).granted);
+  CHECK_FALSE(wg::EstimateAnswer(window, absl::ZeroDuration()).granted);
   window.lateStartBy = absl::Seconds(2);
-  CHECK(wg::GuessAnswer(window, absl::ZeroDuration()).isLate);
+  CHECK(wg::EstimateAnswer(window, absl::ZeroDuration()).isLate);
 }
--- a/Tests/Decision/wgControlChoiceTest.cxx
+++ b/Tests/Decision/wgControlChoiceTest.cxx
@@ -46,12 +46,12 @@
   for (int i = 0; i < boxes; ++i) {
     const std::string hall = absl::StrCat("h", i % 5);
     const auto chosen = wg::ChooseControls(controls, BoxName(i), hall);
-    REQUIRE(chosen.size() == wg::FollowedNear + wg::FollowedFar);
+    REQUIRE(chosen.size() == wg::FollowedInHall + wg::FollowedElsewhere);
     const auto near =
       std::count_if(chosen.begin(), chosen.end(), [&](std::size_t control) {
         return controls[control].hall == hall;
       });
-    CHECK(near == static_cast<int>(wg::FollowedNear));
+    CHECK(near == static_cast<int>(wg::FollowedInHall));
     for (const std::size_t control : chosen) {
       ++followers[control];
     }
--- a/Tests/Decision/wgCoordinatorChoiceTest.cxx
+++ b/Tests/Decision/wgCoordinatorChoiceTest.cxx
@@ -33,7 +33,7 @@
   std::string name;
   std::string hall;
   std::uint32_t cpuMilli = 0;
-  bool isAlive = true;
+  bool isReachable = true;
 };
 
 struct Pool
@@ -51,14 +51,14 @@
     candidates.push_back(
       { Hash(absl::StrCat(pool.service, "@", pool.hall, "/", box.name)),
         box.cpuMilli, pool.hall.empty() || box.hall == pool.hall,
-        box.isAlive });
+        box.isReachable });
   }
   return candidates;
 }
 
 const Box& Choose(const std::vector<Box>& boxes, const Pool& pool)
 {
-  return boxes[wg::ChooseByShare(Candidates(boxes, pool))];
+  return boxes[wg::ChooseByCpuShare(Candidates(boxes, pool))];
 }
 
 /** The choice of versions without shares: the largest hash in the hall. */
@@ -70,7 +70,7 @@
     const auto order = [&candidates](std::size_t at) {
       return std::make_pair(candidates[at].isNear, candidates[at].hash);
     };
-    if (candidates[i].isAlive && order(i) > order(best)) {
+    if (candidates[i].isReachable && order(i) > order(best)) {
       best = i;
     }
   }
@@ -130,7 +130,7 @@
     std::vector<Box> without = boxes;
     without.erase(without.begin() + static_cast<std::ptrdiff_t>(gone));
     std::vector<Box> unreachable = boxes;
-    unreachable[gone].isAlive = false;
+    unreachable[gone].isReachable = false;
     for (const Pool& pool : TwelvePools()) {
       const Box& before = Choose(boxes, pool);
       const Box& after = Choose(without, pool);
@@ -153,7 +153,7 @@
     { "a", "h", 1000 }, { "b", "h", 600 }, { "c", "h", 400 }, { "d", "h", 400 }
   };
   std::vector<Box> unreachable = boxes;
-  unreachable[0].isAlive = false;
+  unreachable[0].isReachable = false;
   for (int i = 0; i < 200; ++i) {
     const Pool pool{ absl::StrCat("svc", i), "h" };
     const std::string before = Choose(boxes, pool).name;
@@ -169,12 +169,12 @@
     for (Box& box : boxes) {
       box.cpuMilli = share;
     }
-    boxes[7].isAlive = false;
+    boxes[7].isReachable = false;
     for (int i = 0; i < 1000; ++i) {
       const Pool pool{ absl::StrCat("svc", i),
                        i % 4 == 3 ? "" : absl::StrCat("h", i % 4) };
       const auto candidates = Candidates(boxes, pool);
-      CHECK(wg::ChooseByShare(candidates) == ChooseByHash(candidates));
+      CHECK(wg::ChooseByCpuShare(candidates) == ChooseByHash(candidates));
     }
   }
 }
@@ -182,9 +182,9 @@
 TEST_CASE("Between equal shares the largest hash wins, however close")
 {
   const std::uint64_t most = ~std::uint64_t{ 0 };
-  CHECK(wg::ChooseByShare(std::vector<wg::CoordinatorCandidate>{
+  CHECK(wg::ChooseByCpuShare(std::vector<wg::CoordinatorCandidate>{
           { most - 1, 5 }, { most, 5 }, { most - 2, 5 } }) == 1);
-  CHECK(wg::ChooseByShare(std::vector<wg::CoordinatorCandidate>{
+  CHECK(wg::ChooseByCpuShare(std::vector<wg::CoordinatorCandidate>{
           { 0, 5 }, { 1, 5 }, { 0, 5 } }) == 1);
 }
 
@@ -198,12 +198,12 @@
       const Box& chosen = Choose(boxes, pool);
       REQUIRE(chosen.hall == pool.hall);
       REQUIRE(seen.insert(chosen.name).second);
-      Find(boxes, chosen.name).isAlive = false;
+      Find(boxes, chosen.name).isReachable = false;
     }
     CHECK(seen.size() >= 5);
     // A small box of the hall goes before a large one elsewhere.
     CHECK(Choose(boxes, pool).hall == pool.hall);
-    CHECK(Choose(boxes, pool).isAlive);
+    CHECK(Choose(boxes, pool).isReachable);
   }
 }
 
@@ -240,21 +240,21 @@
     boxes[60].cpuMilli = Large;
     for (const Pool& pool : TwelvePools()) {
       const auto candidates = Candidates(boxes, pool);
-      CHECK(wg::ChooseByShare(candidates) == ChooseByHash(candidates));
+      CHECK(wg::ChooseByCpuShare(candidates) == ChooseByHash(candidates));
     }
   }
 }
 
 TEST_CASE("CPU shares are parsed strictly")
 {
-  CHECK(wg::ReadCpuShare("0.09") == 90);
-  CHECK(wg::ReadCpuShare(" 0.3 ") == 300);
-  CHECK(wg::ReadCpuShare("2") == 2000);
-  CHECK(wg::ReadCpuShare("1000") == wg::MaxCpuMilli);
+  CHECK(wg::ParseCpuShare("0.09") == 90);
+  CHECK(wg::ParseCpuShare(" 0.3 ") == 300);
+  CHECK(wg::ParseCpuShare("2") == 2000);
+  CHECK(wg::ParseCpuShare("1000") == wg::MaxCpuMilli);
   for (const char* text :
        { "", "0", "0.0004", "-1", "nan", "inf", "-inf", "1e300", "1000.1",
          "0.3 cores", "9%", "0,3", "{{limits.cpuQuota}}" }) {
-    CHECK(wg::ReadCpuShare(text) == 0);
+    CHECK(wg::ParseCpuShare(text) == 0);
   }
 }
 
@@ -276,7 +276,7 @@
   }
   for (int step = 0; step < 40; ++step) {
     now += absl::Milliseconds(100);
-    wg::SettleShares(shares, now);
+    wg::ApplyPendingShares(shares, now);
     for (std::size_t i = 0; i < boxes.size(); ++i) {
       const bool isReported =
         static_cast<int>(i * 7 % boxes.size()) < step * 7;
@@ -291,7 +291,7 @@
       }
     }
   }
-  CHECK_FALSE(wg::HasUnsettled(shares));
+  CHECK_FALSE(wg::HasPendingShares(shares));
   for (const Pool& pool : TwelvePools()) {
     const auto& turns = chosen[absl::StrCat(pool.service, "@", pool.hall)];
     CHECK(turns.size() <= 2);
@@ -307,12 +307,12 @@
   CHECK(wg::NoteShare(shares, "a", Large, now) == Large);
   CHECK(wg::NoteShare(shares, "a", 0, now) == Large);
   CHECK(wg::NoteShare(shares, "a", ~0U, now) == Large);
-  CHECK_FALSE(wg::HasUnsettled(shares));
+  CHECK_FALSE(wg::HasPendingShares(shares));
   // A changed share takes effect after ShareSettleTime.
   CHECK(wg::NoteShare(shares, "a", Small, now) == Large);
-  wg::SettleShares(shares, now + absl::Seconds(1));
+  wg::ApplyPendingShares(shares, now + absl::Seconds(1));
   CHECK(wg::NoteShare(shares, "a", Small, now) == Large);
-  wg::SettleShares(shares, now + wg::ShareSettleTime);
+  wg::ApplyPendingShares(shares, now + wg::ShareSettleTime);
   CHECK(wg::NoteShare(shares, "a", Small, now) == Small);
 }
 
@@ -326,7 +326,7 @@
   for (int s = 1; s <= 10; ++s) {
     const wg::Elapsed now = began + absl::Seconds(s);
     wg::NoteShare(shares, "b", s % 2 == 0 ? Small : Large, now);
-    wg::SettleShares(shares, now);
+    wg::ApplyPendingShares(shares, now);
   }
   CHECK(wg::NoteShare(shares, "a", Large, began) == Large);
 }
--- a/Tests/Decision/wgDecisionTest.cxx
+++ b/Tests/Decision/wgDecisionTest.cxx
@@ -143,7 +143,7 @@
   infeasible.latestStart = absl::Seconds(1);
   wg::Push(queue, infeasible);
   wg::Push(queue, Stage(2, "b"));
-  const auto taken = wg::TakeHopeless(queue, absl::Seconds(2), 0.1);
+  const auto taken = wg::ExtractInfeasible(queue, absl::Seconds(2), 0.1);
   REQUIRE(taken.size() == 1);
   CHECK(taken[0].ticket == 1);
   CHECK(queue.count == 1);
@@ -157,10 +157,10 @@
   wg::WaitingStage stage = Stage(1, "a");
   stage.deadline = absl::Seconds(10);
   stage.latestStart = absl::Seconds(9); // for an estimate of 1 s
-  stage.laterSeconds = 2.0;
+  stage.laterStagesSeconds = 2.0;
   wg::Push(queue, stage);
-  CHECK(wg::TakeHopeless(queue, absl::Seconds(1), 1.0).empty());
-  CHECK(wg::TakeHopeless(queue, absl::Seconds(1), 8.0).size() == 1);
+  CHECK(wg::ExtractInfeasible(queue, absl::Seconds(1), 1.0).empty());
+  CHECK(wg::ExtractInfeasible(queue, absl::Seconds(1), 8.0).size() == 1);
 }
 
 TEST_CASE("no slot is left idle while stages wait")
@@ -178,7 +178,7 @@
   std::mt19937_64 random = Seeded();
   wg::GroupState group = Group(4, 2);
   group.endpoints[0].listedLeaving = true;
-  group.endpoints[1].saysLeaving = true;
+  group.endpoints[1].reportsLeaving = true;
   group.endpoints[2].drained = true;
   group.endpoints[3].removed = true;
   wg::Enqueue(group, Stage(1, "a"), {});
@@ -204,10 +204,10 @@
   wg::StartProbes(endpoints, absl::Seconds(1.5));
   CHECK_FALSE(wg::TakesNewWork(endpoints[0]));
   wg::StartProbes(endpoints, absl::Seconds(2.5));
-  CHECK(wg::HasPlace(endpoints[0], wg::PlaceRule::Any));
+  CHECK(wg::IsSlotFree(endpoints[0], wg::SlotRule::Any));
   ++endpoints[0].running;
   CHECK_FALSE(
-    wg::HasPlace(endpoints[0], wg::PlaceRule::Any)); // one probe at a time
+    wg::IsSlotFree(endpoints[0], wg::SlotRule::Any)); // one probe at a time
   for (int i = 0; i < 3; ++i) {
     wg::NoteAttemptEnd(endpoints, 0, wg::AttemptEnd::Answered, 0.1,
                        absl::Seconds(3));
@@ -300,7 +300,7 @@
   query.repeatable = true;
   query.end = wg::AttemptEnd::Failed;
   CHECK(wg::MayRetry(query));
-  query.triesMade = 3;
+  query.attemptsMade = 3;
   CHECK_FALSE(wg::MayRetry(query));
 }
 
@@ -327,17 +327,17 @@
   const wg::AttemptId first = wg::OpenAttempt(attempts, 0);
   wg::AbandonAttempt(attempts, first, wg::AttemptEnd::Failed);
   const wg::AttemptId second = wg::OpenAttempt(attempts, 0);
-  CHECK(wg::JudgeAnswer(attempts, first) == wg::AnswerVerdict::Late);
-  CHECK(wg::JudgeAnswer(attempts, { "r2", 0, 2 }) ==
-        wg::AnswerVerdict::Foreign);
-  CHECK(wg::JudgeAnswer(attempts, { "r1", 0, 9 }) ==
-        wg::AnswerVerdict::Foreign);
-  CHECK(wg::JudgeAnswer(attempts, { "r1", 5, 1 }) ==
-        wg::AnswerVerdict::Foreign);
-  CHECK(wg::JudgeAnswer(attempts, { "r1", -1, -1 }) ==
-        wg::AnswerVerdict::Foreign);
-  CHECK(wg::JudgeAnswer(attempts, second) == wg::AnswerVerdict::Accept);
-  CHECK(wg::JudgeAnswer(attempts, second) == wg::AnswerVerdict::Duplicate);
+  CHECK(wg::ClassifyAnswer(attempts, first) == wg::AnswerVerdict::Late);
+  CHECK(wg::ClassifyAnswer(attempts, { "r2", 0, 2 }) ==
+        wg::AnswerVerdict::Mismatched);
+  CHECK(wg::ClassifyAnswer(attempts, { "r1", 0, 9 }) ==
+        wg::AnswerVerdict::Mismatched);
+  CHECK(wg::ClassifyAnswer(attempts, { "r1", 5, 1 }) ==
+        wg::AnswerVerdict::Mismatched);
+  CHECK(wg::ClassifyAnswer(attempts, { "r1", -1, -1 }) ==
+        wg::AnswerVerdict::Mismatched);
+  CHECK(wg::ClassifyAnswer(attempts, second) == wg::AnswerVerdict::Accept);
+  CHECK(wg::ClassifyAnswer(attempts, second) == wg::AnswerVerdict::Duplicate);
 }
 
 TEST_CASE("a request counts as not run only if no attempt can have run")
@@ -357,11 +357,11 @@
 TEST_CASE("a resumed stream delivers each token once, in order")
 {
   wg::TokenStream stream;
-  CHECK(wg::JudgeToken(stream, 0, "a") == wg::TokenVerdict::Deliver);
-  CHECK(wg::JudgeToken(stream, 1, "b") == wg::TokenVerdict::Deliver);
-  CHECK(wg::JudgeToken(stream, 1, "b") == wg::TokenVerdict::Duplicate);
-  CHECK(wg::JudgeToken(stream, 3, "d") == wg::TokenVerdict::Gap);
-  CHECK(wg::JudgeToken(stream, 2, "c") == wg::TokenVerdict::Deliver);
+  CHECK(wg::ClassifyToken(stream, 0, "a") == wg::TokenVerdict::Deliver);
+  CHECK(wg::ClassifyToken(stream, 1, "b") == wg::TokenVerdict::Deliver);
+  CHECK(wg::ClassifyToken(stream, 1, "b") == wg::TokenVerdict::Duplicate);
+  CHECK(wg::ClassifyToken(stream, 3, "d") == wg::TokenVerdict::Gap);
+  CHECK(wg::ClassifyToken(stream, 2, "c") == wg::TokenVerdict::Deliver);
   CHECK(stream.text == "abc");
 }
 
@@ -383,7 +383,7 @@
 TEST_CASE("a request that cannot meet its deadline is refused at once")
 {
   std::mt19937_64 random = Seeded();
-  std::vector<wg::StageOutlook> stages(2);
+  std::vector<wg::StageEstimate> stages(2);
   stages[0] = { 0.1, 0.0, 0.0, 4.0, true };
   stages[1] = { 1.0, 0.0, 40.0, 10.0, true };
   CHECK(wg::ExpectedRequestSeconds(stages) == Approx(4.0));
--- a/Tests/Decision/wgEndpointLoadTest.cxx
+++ b/Tests/Decision/wgEndpointLoadTest.cxx
@@ -32,35 +32,35 @@
 TEST_CASE("A reported load is used for 200 ms")
 {
   KnownLoad known;
-  CHECK(LoadNow(known, "e", Now) == nullptr);
-  TakeLoad(known, Report(1.0, 2.5), "e", Now);
-  REQUIRE(LoadNow(known, "e", After(200)) != nullptr);
-  CHECK(LoadNow(known, "e", After(200))->pace == 2.5);
-  CHECK(LoadNow(known, "e", After(201)) == nullptr);
+  CHECK(FreshLoad(known, "e", Now) == nullptr);
+  ApplyLoadReport(known, Report(1.0, 2.5), "e", Now);
+  REQUIRE(FreshLoad(known, "e", After(200)) != nullptr);
+  CHECK(FreshLoad(known, "e", After(200))->pace == 2.5);
+  CHECK(FreshLoad(known, "e", After(201)) == nullptr);
   // A report from the future is not used: clocks are monotonic.
-  CHECK(LoadNow(known, "e", Now - absl::Milliseconds(1)) == nullptr);
+  CHECK(FreshLoad(known, "e", Now - absl::Milliseconds(1)) == nullptr);
 }
 
 // Guards against applying the report of an earlier start to the next one.
 TEST_CASE("A reported load applies only to the start that reported it")
 {
   KnownLoad known;
-  TakeLoad(known, Report(1.0, 2.5), "e@1", Now);
-  CHECK(LoadNow(known, "e@1", Now) != nullptr);
-  CHECK(LoadNow(known, "e@2", Now) == nullptr);
+  ApplyLoadReport(known, Report(1.0, 2.5), "e@1", Now);
+  CHECK(FreshLoad(known, "e@1", Now) != nullptr);
+  CHECK(FreshLoad(known, "e@2", Now) == nullptr);
 }
 
 // Guards against a damaged report that renews or erases the previous one.
 TEST_CASE("A missing or unreadable report leaves the previous one to age")
 {
   KnownLoad known;
-  TakeLoad(known, Report(1.0, 2.5), "e", Now);
-  TakeLoad(known, {}, "e", After(100));
+  ApplyLoadReport(known, Report(1.0, 2.5), "e", Now);
+  ApplyLoadReport(known, {}, "e", After(100));
   CHECK(known.unreadable == 0);
-  TakeLoad(known, { {}, true }, "e", After(150));
+  ApplyLoadReport(known, { {}, true }, "e", After(150));
   CHECK(known.unreadable == 1);
-  CHECK(LoadNow(known, "e", After(200)) != nullptr);
-  CHECK(LoadNow(known, "e", After(250)) == nullptr);
+  CHECK(FreshLoad(known, "e", After(200)) != nullptr);
+  CHECK(FreshLoad(known, "e", After(250)) == nullptr);
 }
 
 // Guards against an endpoint that attracts calls by false reports.
--- a/Tests/Decision/wgEndpointSpeedTest.cxx
+++ b/Tests/Decision/wgEndpointSpeedTest.cxx
@@ -72,7 +72,7 @@
   }
   double Expected(std::size_t i, double at) const
   {
-    return wg::ExpectedFactor(speeds_[i], Peers(at), At(at));
+    return wg::ExpectedSlowdown(speeds_[i], Peers(at), At(at));
   }
   EndpointSpeed& Of(std::size_t i) { return speeds_[i]; }
   int Changes() const { return changes_; }
@@ -150,7 +150,7 @@
   Fleet fleet({ 0.7, 0.7, 0.7 });
   fleet.Work(0.0, 20.0, 0.15, 3);
   EndpointSpeed& speed = fleet.Of(0);
-  const double lasting = wg::LastingSpeed(speed, fleet.Peers(20.0)).factor;
+  const double lasting = wg::LastingSlowdown(speed, fleet.Peers(20.0)).factor;
   const auto note = [&fleet](double factor, double at) {
     return fleet.Note(0, factor, at);
   };
@@ -172,13 +172,14 @@
     CHECK(wg::IsEjected(speed, 1, At(21.3)));
     CHECK(note(3.5, 22.0) == SpeedChange::None);
     CHECK(wg::IsEjected(speed, 0, At(22.9)));
-    wg::NoteNoSample(speed, At(23.0)); // the probe's caller disconnected
+    wg::NoteWorkWithoutSample(speed,
+                              At(23.0)); // the probe's caller disconnected
     CHECK(wg::IsEjected(speed, 0, At(23.9)));
     CHECK(note(0.7, 24.2) == SpeedChange::None);
     CHECK_FALSE(wg::IsEjected(speed, 0, At(24.2)));
     CHECK(note(0.7, 24.5) == SpeedChange::Healthy);
     // The fault has not changed the lasting slowdown.
-    CHECK(wg::LastingSpeed(speed, fleet.Peers(25.0)).factor ==
+    CHECK(wg::LastingSlowdown(speed, fleet.Peers(25.0)).factor ==
           Approx(lasting).epsilon(0.1));
   }
 }
@@ -195,7 +196,7 @@
   for (int i = 0; i < 120; ++i) {
     CHECK(fleet.Note(0, 5.0, 23.0 + i) == SpeedChange::None);
   }
-  CHECK(wg::LastingSpeed(fleet.Of(0), fleet.Peers(143.0)).factor < 1.1);
+  CHECK(wg::LastingSlowdown(fleet.Of(0), fleet.Peers(143.0)).factor < 1.1);
 }
 
 // Guards against ejecting engines because all are overloaded, or because
@@ -235,13 +236,13 @@
 // Guards against preferring or avoiding a new endpoint without a measurement.
 TEST_CASE("An endpoint starts at the median of its peers")
 {
-  CHECK(wg::ExpectedFactor({}, {}, Start) == 1.0);
+  CHECK(wg::ExpectedSlowdown({}, {}, Start) == 1.0);
   Fleet fleet({ 0.7, 0.7, 1.7 });
   fleet.Work(0.0, 20.0, 0.0, 9);
   const EndpointSpeed unknown;
-  CHECK(wg::ExpectedFactor(unknown, fleet.Peers(20.0), At(20.0)) ==
+  CHECK(wg::ExpectedSlowdown(unknown, fleet.Peers(20.0), At(20.0)) ==
         fleet.Expected(0, 30.0));
-  CHECK(wg::LastingSpeed(unknown, fleet.Peers(20.0)).confidence == 0.0);
+  CHECK(wg::LastingSlowdown(unknown, fleet.Peers(20.0)).confidence == 0.0);
 }
 
 // Guards against one absurd measurement that outweighs all others.
@@ -251,10 +252,10 @@
   const PeerSpeeds none;
   for (const double bad : { 1e300, 0.0, -5.0, std::nan("") }) {
     wg::NoteSpeed(speed, none, { bad, bad }, Start);
-    const double expected = wg::ExpectedFactor(speed, none, Start);
+    const double expected = wg::ExpectedSlowdown(speed, none, Start);
     CHECK(std::isfinite(expected));
     CHECK(expected > 0.1);
     CHECK(expected <= 20.0);
-    CHECK(std::isfinite(wg::LastingSpeed(speed, none).factor));
+    CHECK(std::isfinite(wg::LastingSlowdown(speed, none).factor));
   }
 }
--- a/Tests/Decision/wgEndpointTermsTest.cxx
+++ b/Tests/Decision/wgEndpointTermsTest.cxx
@@ -29,7 +29,7 @@
 SenderTerms Unlimited()
 {
   SenderTerms terms;
-  terms.endsLimit = true;
+  terms.clearsLimit = true;
   return terms;
 }
 
@@ -38,26 +38,26 @@
 TEST_CASE("A limit holds until a later successful answer has none")
 {
   EndpointTerms known;
-  CHECK(TakeTerms(known, Limit(2.0), At(0), At(1)).limit);
+  CHECK(ApplyTerms(known, Limit(2.0), At(0), At(1)).limit);
   CHECK(known.perSecond == 2.0);
-  CHECK_FALSE(TakeTerms(known, Limit(2.0), At(1), At(1.1)).limit);
-  CHECK(TakeTerms(known, Limit(0.5), At(1), At(1.2)).limit);
+  CHECK_FALSE(ApplyTerms(known, Limit(2.0), At(1), At(1.1)).limit);
+  CHECK(ApplyTerms(known, Limit(0.5), At(1), At(1.2)).limit);
   // Sent before the limit was reported: the answers overtook each other.
-  CHECK_FALSE(TakeTerms(known, Unlimited(), At(1.1), At(1.3)).limit);
+  CHECK_FALSE(ApplyTerms(known, Unlimited(), At(1.1), At(1.3)).limit);
   CHECK(known.perSecond == 0.5);
   const SenderTerms refusal; // or an answer that could not be parsed
-  CHECK_FALSE(TakeTerms(known, refusal, At(2), At(2.1)).limit);
-  CHECK(TakeTerms(known, Unlimited(), At(2), At(2.1)).limit);
+  CHECK_FALSE(ApplyTerms(known, refusal, At(2), At(2.1)).limit);
+  CHECK(ApplyTerms(known, Unlimited(), At(2), At(2.1)).limit);
   CHECK_FALSE(known.perSecond);
 }
 
 TEST_CASE("The newest of the limits reported by other boxes holds")
 {
   EndpointTerms known;
-  CHECK(TakeLimit(known, 3.0, At(5)));
-  CHECK_FALSE(TakeLimit(known, 9.0, At(4)));
+  CHECK(ApplyLimit(known, 3.0, At(5)));
+  CHECK_FALSE(ApplyLimit(known, 9.0, At(4)));
   CHECK(known.perSecond == 3.0);
-  CHECK(TakeLimit(known, std::nullopt, At(6)));
+  CHECK(ApplyLimit(known, std::nullopt, At(6)));
   CHECK_FALSE(known.perSecond);
 }
 
@@ -65,15 +65,15 @@
 {
   EndpointTerms known;
   SenderTerms answer;
-  answer.rest = absl::Seconds(3);
-  CHECK(TakeTerms(known, answer, At(0), At(0)).rest);
-  answer.rest = absl::Seconds(1);
-  CHECK_FALSE(TakeTerms(known, answer, At(0.5), At(0.5)).rest);
-  CHECK(IsResting(known, At(2.9)));
-  CHECK_FALSE(IsResting(known, At(3)));
+  answer.backoff = absl::Seconds(3);
+  CHECK(ApplyTerms(known, answer, At(0), At(0)).backoff);
+  answer.backoff = absl::Seconds(1);
+  CHECK_FALSE(ApplyTerms(known, answer, At(0.5), At(0.5)).backoff);
+  CHECK(IsBackingOff(known, At(2.9)));
+  CHECK_FALSE(IsBackingOff(known, At(3)));
   // An answer to an earlier request does not end it.
-  CHECK_FALSE(TakeTerms(known, {}, At(0.4), At(2)).rest);
-  CHECK(IsResting(known, At(2.9)));
+  CHECK_FALSE(ApplyTerms(known, {}, At(0.4), At(2)).backoff);
+  CHECK(IsBackingOff(known, At(2.9)));
 }
 
 TEST_CASE("An announced leave expires but is not withdrawn by answers")
@@ -81,10 +81,10 @@
   EndpointTerms known;
   SenderTerms leaves;
   leaves.isLeaving = true;
-  CHECK(TakeTerms(known, leaves, At(0), At(1)).leaving);
+  CHECK(ApplyTerms(known, leaves, At(0), At(1)).leaving);
   CHECK(known.isLeaving);
-  CHECK_FALSE(TakeTerms(known, leaves, At(1), At(2)).leaving);
-  CHECK_FALSE(TakeTerms(known, Unlimited(), At(3), At(4)).leaving);
+  CHECK_FALSE(ApplyTerms(known, leaves, At(1), At(2)).leaving);
+  CHECK_FALSE(ApplyTerms(known, Unlimited(), At(3), At(4)).leaving);
   CHECK(known.isLeaving);
   ForgetLeaving(known, At(2) + wg::LeavingMemory - absl::Seconds(1));
   CHECK(known.isLeaving);
--- a/Tests/Decision/wgHallOrdersTest.cxx
+++ b/Tests/Decision/wgHallOrdersTest.cxx
@@ -7,7 +7,7 @@
 
 namespace {
 
-using wg::HallOrderTaken;
+using wg::HallOrderResult;
 
 wg::wire::OrderHall Order(const std::string& hall, bool evacuate,
                           std::uint64_t seen)
@@ -24,9 +24,10 @@
 TEST_CASE("A repeated order is applied once")
 {
   wg::HallOrders orders;
-  REQUIRE(TakeHallOrder(orders, Order("h1", true, 0)) ==
-          HallOrderTaken::Holds);
-  CHECK(TakeHallOrder(orders, Order("h1", true, 0)) == HallOrderTaken::Holds);
+  REQUIRE(ApplyHallOrder(orders, Order("h1", true, 0)) ==
+          HallOrderResult::Holds);
+  CHECK(ApplyHallOrder(orders, Order("h1", true, 0)) ==
+        HallOrderResult::Holds);
   CHECK(orders.newest == 1);
   CHECK(wg::IsEvacuated(orders, "h1"));
   CHECK_FALSE(wg::IsEvacuated(orders, "h2"));
@@ -37,35 +38,38 @@
   // Two operators send it, or one sends an order again that seemed lost. The
   // copy is based on the state before the hall returned to service.
   wg::HallOrders orders;
-  TakeHallOrder(orders, Order("h1", true, 0));
-  REQUIRE(TakeHallOrder(orders, Order("h1", false, 1)) ==
-          HallOrderTaken::Holds);
-  CHECK(TakeHallOrder(orders, Order("h1", true, 0)) ==
-        HallOrderTaken::Overtaken);
+  ApplyHallOrder(orders, Order("h1", true, 0));
+  REQUIRE(ApplyHallOrder(orders, Order("h1", false, 1)) ==
+          HallOrderResult::Holds);
+  CHECK(ApplyHallOrder(orders, Order("h1", true, 0)) ==
+        HallOrderResult::Superseded);
   CHECK_FALSE(wg::IsEvacuated(orders, "h1"));
-  CHECK(TakeHallOrder(orders, Order("h1", true, 2)) == HallOrderTaken::Holds);
+  CHECK(ApplyHallOrder(orders, Order("h1", true, 2)) ==
+        HallOrderResult::Holds);
   CHECK(wg::FindHallOrder(orders, "h1").number == 3);
 }
 
 TEST_CASE("Orders that name no hall, or too many halls, are refused")
 {
   wg::HallOrders orders;
-  CHECK(TakeHallOrder(orders, Order("", true, 0)) == HallOrderTaken::Refused);
+  CHECK(ApplyHallOrder(orders, Order("", true, 0)) ==
+        HallOrderResult::Refused);
   for (int i = 0; i < 1000; ++i) {
-    REQUIRE(TakeHallOrder(orders, Order(absl::StrCat("h", i), true, 0)) ==
-            HallOrderTaken::Holds);
+    REQUIRE(ApplyHallOrder(orders, Order(absl::StrCat("h", i), true, 0)) ==
+            HallOrderResult::Holds);
   }
-  CHECK(TakeHallOrder(orders, Order("one-more", true, 0)) ==
-        HallOrderTaken::Refused);
-  CHECK(TakeHallOrder(orders, Order("h7", false, 8)) == HallOrderTaken::Holds);
+  CHECK(ApplyHallOrder(orders, Order("one-more", true, 0)) ==
+        HallOrderResult::Refused);
+  CHECK(ApplyHallOrder(orders, Order("h7", false, 8)) ==
+        HallOrderResult::Holds);
 }
 
 TEST_CASE("Orders keep all fields in a message")
 {
   wg::HallOrders orders;
-  TakeHallOrder(orders, Order("h1", true, 0));
-  TakeHallOrder(orders, Order("h2", true, 0));
-  TakeHallOrder(orders, Order("h1", false, 1));
+  ApplyHallOrder(orders, Order("h1", true, 0));
+  ApplyHallOrder(orders, Order("h2", true, 0));
+  ApplyHallOrder(orders, Order("h1", false, 1));
   const wg::HallOrders result = wg::FromWire(wg::ToWire(orders));
   CHECK(result.newest == 3);
   CHECK(wg::FindHallOrder(result, "h1").number == 3);
--- a/Tests/Decision/wgPoolForecastTest.cxx
+++ b/Tests/Decision/wgPoolForecastTest.cxx
@@ -194,13 +194,13 @@
   const wg::Elapsed now = Now + absl::Seconds(3);
   CHECK(wg::UrgentDemand(demand, 2, now) == Approx(95.0).margin(6.0));
   CHECK(wg::UrgentDemand(demand, 1, now) == 0.0);
-  CHECK(wg::RateLeft(Rate(), demand, 2, now).piecesPerSecond ==
+  CHECK(wg::RemainingRate(Rate(), demand, 2, now).piecesPerSecond ==
         Approx(445.0).margin(6.0));
   CHECK(wg::UrgentDemand(demand, 2, now + absl::Seconds(5)) < 1.0);
   for (int i = 0; i < 2000; ++i) {
     wg::NoteDemand(demand, 0, 1.0, now);
   }
-  CHECK(wg::RateLeft(Rate(), demand, 2, now).piecesPerSecond ==
+  CHECK(wg::RemainingRate(Rate(), demand, 2, now).piecesPerSecond ==
         Approx(0.1 * PiecesPerSecond));
 }
 
@@ -235,18 +235,18 @@
 // burst.
 TEST_CASE("Retries of refused callers are spread")
 {
-  wg::PromisedReturns promised;
+  wg::ScheduledRetries promised;
   const std::vector<wg::PendingWork> pending{ Work(540, absl::Seconds(1)) };
   std::vector<double> delays;
   for (int i = 0; i < 90; ++i) {
     delays.push_back(absl::ToDoubleSeconds(
-      wg::PromiseReturn(promised, Rate(), pending, PiecesOfWork, Now)));
+      wg::ScheduleRetry(promised, Rate(), pending, PiecesOfWork, Now)));
   }
   CHECK(delays.front() == Approx(1.0));
   CHECK(delays.back() == Approx(2.0).margin(0.02));
-  CHECK(std::is_sorted(delays.begin(), reported.end()));
+  CHECK(std::is_sorted(delays.begin(), delays.end()));
   const wg::Elapsed later = Now + absl::Seconds(3);
   CHECK(absl::ToDoubleSeconds(
-          wg::PromiseReturn(promised, Rate(), {}, PiecesOfWork, later)) ==
+          wg::ScheduleRetry(promised, Rate(), {}, PiecesOfWork, later)) ==
         Approx(0.0).margin(0.01));
 }
--- a/Tests/Decision/wgResultRoomTest.cxx
+++ b/Tests/Decision/wgResultRoomTest.cxx
@@ -19,7 +19,7 @@
 InputVerdict Evaluate(int waiting, const std::vector<InputUse>& calls,
                       absl::Duration after)
 {
-  return JudgeInputs(waiting, calls, wg::NeverLost, Start + after);
+  return EvaluateInputs(waiting, calls, wg::NeverLost, Start + after);
 }
 
 /** An endpoint whose buffer holds results of one byte each. Some are unknown
@@ -49,15 +49,16 @@
 /** How a coordinator bounds the work of an endpoint that refused pieces. */
 enum class Rule
 {
-  Bound,  // by RoomBound
+  Bound,  // by BufferBound
   Counted // baseline: a refused piece counts as buffered for 400 ms
 };
 
 std::int64_t LimitOf(Rule rule, const Endpoint& endpoint,
-                     const wg::RoomEvidence& evidence, wg::Elapsed now)
+                     const wg::BufferEvidence& evidence, wg::Elapsed now)
 {
   if (rule == Rule::Bound) {
-    return std::min<std::int64_t>(endpoint.capacity, RoomBound(evidence, now));
+    return std::min<std::int64_t>(endpoint.capacity,
+                                  BufferBound(evidence, now));
   }
   const bool counts =
     evidence.isKnown && now < evidence.noted + absl::Milliseconds(400);
@@ -74,7 +75,7 @@
   constexpr int callsUntilRelease = 4;
   Totals totals;
   std::vector<int> executed;
-  wg::RoomEvidence evidence;
+  wg::BufferEvidence evidence;
   for (wg::Elapsed now = Start; now < Start + absl::Seconds(3); now += call) {
     const auto calls = static_cast<int>(executed.size());
     if (calls >= callsUntilRelease) {
@@ -128,7 +129,7 @@
 {
   // A refused piece is executed again and needs its inputs.
   const std::vector<InputUse> calls{ { Start, Expected, true } };
-  CHECK(Evaluate(0, calls, Expected / 2) == InputVerdict::RoomShort);
+  CHECK(Evaluate(0, calls, Expected / 2) == InputVerdict::BufferFull);
 }
 
 TEST_CASE("Inputs are kept for a time after released inputs were missed")
@@ -136,10 +137,10 @@
   // Otherwise, calls that queue at an endpoint would fail repeatedly.
   const std::vector<InputUse> calls{ { Start, Expected } };
   const wg::Elapsed now = Start + Expected / 2;
-  CHECK(JudgeInputs(0, calls,
-                    now - wg::InputLossHoldTime + absl::Milliseconds(1),
-                    now) == InputVerdict::RecentLoss);
-  CHECK(JudgeInputs(0, calls, now - wg::InputLossHoldTime, now) ==
+  CHECK(EvaluateInputs(0, calls,
+                       now - wg::InputLossHoldTime + absl::Milliseconds(1),
+                       now) == InputVerdict::RecentLoss);
+  CHECK(EvaluateInputs(0, calls, now - wg::InputLossHoldTime, now) ==
         InputVerdict::Release);
 }
 
@@ -147,24 +148,24 @@
 {
   // 100 recorded with the call, of which 30 were refused: 70 fit, 71 do not.
   const auto evidence = wg::EvidenceOf({ 100, 100, 30, 30, 1 }, Start);
-  CHECK(wg::RoomBound(evidence, Start) == 70);
-  CHECK(wg::RoomBound(evidence, Start + wg::BufferRetryPeriod -
-                                  absl::Milliseconds(1)) == 70);
+  CHECK(wg::BufferBound(evidence, Start) == 70);
+  CHECK(wg::BufferBound(evidence, Start + wg::BufferRetryPeriod -
+                                    absl::Milliseconds(1)) == 70);
   // Unknown results expire, so the bound grows step by step.
-  CHECK(wg::RoomBound(evidence, Start + wg::BufferRetryPeriod) == 100);
-  CHECK(wg::RoomBound(evidence, Start + 2 * wg::BufferRetryPeriod) == 130);
-  CHECK(wg::IsRoomShort(evidence, Start));
-  CHECK_FALSE(wg::IsRoomShort(evidence, Start + wg::ResultLifetime));
-  CHECK(wg::RoomBound(evidence, Start + wg::ResultLifetime) ==
-        wg::UnboundedRoom);
-  CHECK(wg::RoomBound({}, Start) == wg::UnboundedRoom);
+  CHECK(wg::BufferBound(evidence, Start + wg::BufferRetryPeriod) == 100);
+  CHECK(wg::BufferBound(evidence, Start + 2 * wg::BufferRetryPeriod) == 130);
+  CHECK(wg::IsBufferFull(evidence, Start));
+  CHECK_FALSE(wg::IsBufferFull(evidence, Start + wg::ResultLifetime));
+  CHECK(wg::BufferBound(evidence, Start + wg::ResultLifetime) ==
+        wg::UnboundedBuffer);
+  CHECK(wg::BufferBound({}, Start) == wg::UnboundedBuffer);
 }
 
 TEST_CASE("Results released during a call count as buffered")
 {
   // The endpoint may have refused results before the release.
   const auto evidence = wg::EvidenceOf({ 100, 60, 30, 30, 10 }, Start);
-  CHECK(wg::RoomBound(evidence, Start) == 79);
+  CHECK(wg::BufferBound(evidence, Start) == 79);
 }
 
 TEST_CASE("Invalid sizes are clamped")
@@ -176,11 +177,11 @@
     wg::EvidenceOf({ -1, -huge, huge, -huge, -huge }, Start);
   for (auto age = absl::ZeroDuration(); age < 2 * wg::ResultLifetime;
        age += wg::BufferRetryPeriod) {
-    CHECK(wg::RoomBound(large, Start + age) > 0);
-    CHECK(wg::RoomBound(negative, Start + age) >= -1);
+    CHECK(wg::BufferBound(large, Start + age) > 0);
+    CHECK(wg::BufferBound(negative, Start + age) >= -1);
   }
   // Results of unknown size are tried again after one period.
-  CHECK(wg::RoomBound(negative, Start + wg::BufferRetryPeriod) == 0);
+  CHECK(wg::BufferBound(negative, Start + wg::BufferRetryPeriod) == 0);
 }
 
 TEST_CASE("An endpoint with unknown results in its buffer refuses few pieces")
@@ -200,7 +201,7 @@
 // that fails has all stages of its request executed again.
 TEST_CASE("Buffers are scarce once results fill half of them")
 {
-  CHECK_FALSE(wg::IsRoomScarce(49, 100));
-  CHECK(wg::IsRoomScarce(50, 100));
-  CHECK_FALSE(wg::IsRoomScarce(1000, 0)); // no limit
+  CHECK_FALSE(wg::AreBuffersScarce(49, 100));
+  CHECK(wg::AreBuffersScarce(50, 100));
+  CHECK_FALSE(wg::AreBuffersScarce(1000, 0)); // no limit
 }
--- a/Tests/Decision/wgRolloutFleet.cxx
+++ b/Tests/Decision/wgRolloutFleet.cxx
@@ -174,7 +174,7 @@
 
   FleetSettings settings_;
   RolloutConfig rollout_;
-  RolloutWatch watch_;
+  RolloutProgress watch_;
   std::vector<Engine> engines_;
   std::vector<std::string> loading_; // engines of the batch
   double now_ = 0.0;
--- a/Tests/Decision/wgRolloutTest.cxx
+++ b/Tests/Decision/wgRolloutTest.cxx
@@ -12,10 +12,10 @@
 using wg::ReplicaView;
 using wg::RolloutConfig;
 using wg::RolloutMove;
+using wg::RolloutProgress;
 using wg::RolloutState;
 using wg::RolloutStep;
 using wg::RolloutTiming;
-using wg::RolloutWatch;
 using wg::test::FleetPolicy;
 using wg::test::FleetResult;
 using wg::test::FleetSettings;
@@ -35,7 +35,7 @@
                  const std::vector<ReplicaView>& replicas,
                  double seconds = 100.0)
 {
-  RolloutWatch watch;
+  RolloutProgress watch;
   watch.endpoint = rollout.current;
   watch.drainedAt = absl::ZeroDuration();
   return NextRolloutStep(rollout, replicas, watch, {}, absl::Seconds(seconds));
@@ -80,7 +80,7 @@
 {
   ReplicaView current = Serving("a", "v1");
   current.drained = true;
-  RolloutWatch watch;
+  RolloutProgress watch;
   watch.endpoint = "a";
   watch.drainedAt = absl::ZeroDuration();
   const RolloutConfig rollout = ToVersion2(0, "a");
@@ -98,7 +98,7 @@
 {
   ReplicaView current = Serving("a", "v1");
   current.drained = true;
-  RolloutWatch watch;
+  RolloutProgress watch;
   RolloutConfig rollout = ToVersion2(0, "a");
   const auto moveAt = [&](double seconds) {
     return NextRolloutStep(rollout, { current }, watch, {},
@@ -136,7 +136,7 @@
   "orders need a lease, and without fence checks a wait until no order "
   "of an earlier leader can arrive")
 {
-  const wg::OrderRight right{ absl::Seconds(10), absl::Seconds(20) };
+  const wg::OrderAuthority right{ absl::Seconds(10), absl::Seconds(20) };
   CHECK(wg::MayOrder(right, true, absl::Seconds(10)));
   CHECK_FALSE(wg::MayOrder(right, true, absl::Seconds(20)));
   CHECK_FALSE(wg::MayOrder(right, false, absl::Seconds(12.9)));
--- a/Tests/Decision/wgSendRateTest.cxx
+++ b/Tests/Decision/wgSendRateTest.cxx
@@ -28,7 +28,7 @@
   int sent = 0;
   for (Elapsed now = Start; now < Start + wg::LimitWindow; now += Step) {
     for (std::size_t i = 0; i < rates.size(); ++i) {
-      sent += TakeSend(buckets[i], rates[i], now) ? 1 : 0;
+      sent += TryTakeToken(buckets[i], rates[i], now) ? 1 : 0;
     }
   }
   return sent;
@@ -53,8 +53,8 @@
   for (const double limit : { 0.25, 1.0, 2.5, 10.0, 50.0, 400.0 }) {
     CAPTURE(limit);
     const int sent = SendInWindow({ { limit, true } }, absl::ZeroDuration());
-    CHECK(sent + 1 >=
-          limit * wg::SettledShare * absl::ToDoubleSeconds(wg::LimitWindow));
+    CHECK(sent + 1 >= limit * wg::SettledFraction *
+                        absl::ToDoubleSeconds(wg::LimitWindow));
   }
 }
 
@@ -63,11 +63,11 @@
   wg::SendBucket bucket;
   bucket.filled = Start;
   const wg::SendRate none{ 0.0, true };
-  CHECK_FALSE(TakeSend(bucket, none, Start));
-  const absl::Duration wait = TimeUntilSend(bucket, none, Start);
+  CHECK_FALSE(TryTakeToken(bucket, none, Start));
+  const absl::Duration wait = TimeUntilToken(bucket, none, Start);
   CHECK(wait > absl::Seconds(1));
   CHECK(wait < absl::Minutes(1));
-  CHECK(TakeSend(bucket, none, Start + wait));
+  CHECK(TryTakeToken(bucket, none, Start + wait));
 }
 
 TEST_CASE("Times that run backwards add no tokens")
@@ -75,6 +75,6 @@
   wg::SendBucket bucket;
   bucket.filled = Start;
   const wg::SendRate rate{ 1.0, true };
-  CHECK_FALSE(TakeSend(bucket, rate, Start - absl::Hours(1)));
-  CHECK_FALSE(TakeSend(bucket, rate, Start + absl::Milliseconds(10)));
+  CHECK_FALSE(TryTakeToken(bucket, rate, Start - absl::Hours(1)));
+  CHECK_FALSE(TryTakeToken(bucket, rate, Start + absl::Milliseconds(10)));
 }
