--- a/Tests/Decision/wgVersionRolloutTest.cxx
+++ b/Tests/Decision/wgVersionRolloutTest.cxx
@@ -75,7 +75,7 @@
     return std::uniform_real_distribution<double>(0.0, 1.0)(random);
   };
   wg::VersionRollouts rollouts;
-  wg::TakeVersionOrder(
+  wg::ApplyVersionOrder(
     rollouts,
     MakeOrder("v2", 0, static_cast<std::int64_t>(durationSeconds * 1000.0)));
   wg::VersionConductor conductor;
@@ -132,7 +132,7 @@
     wg::TakeEvidence(conductor, rollouts, report);
     for (const wg::wire::MoveVersion& move :
          wg::NextMoves(conductor, rollouts, absl::Seconds(100) + now)) {
-      wg::TakeVersionMove(rollouts, move);
+      wg::ApplyVersionMove(rollouts, move);
     }
     const wg::VersionRollout& after = wg::FindVersionRollout(rollouts, "svc");
     if (!wg::IsInProgress(after) && outcome.state == Rollout::UNSPECIFIED) {
@@ -151,47 +151,47 @@
 TEST_CASE("An order is applied once, and a late copy changes nothing")
 {
   wg::VersionRollouts rollouts;
-  CHECK(wg::TakeVersionOrder(rollouts, MakeOrder("v2", 0)) ==
-        wg::VersionOrderTaken::Taken);
-  CHECK(wg::TakeVersionOrder(rollouts, MakeOrder("v2", 0)) ==
-        wg::VersionOrderTaken::UnderWay);
-  CHECK(wg::TakeVersionOrder(rollouts, MakeOrder("v3", 1)) ==
-        wg::VersionOrderTaken::UnderWay);
-  wg::TakeVersionMove(rollouts, MakeMove(1, Rollout::ROLLED_BACK, 0));
+  CHECK(wg::ApplyVersionOrder(rollouts, MakeOrder("v2", 0)) ==
+        wg::VersionOrderResult::Applied);
+  CHECK(wg::ApplyVersionOrder(rollouts, MakeOrder("v2", 0)) ==
+        wg::VersionOrderResult::InProgress);
+  CHECK(wg::ApplyVersionOrder(rollouts, MakeOrder("v3", 1)) ==
+        wg::VersionOrderResult::InProgress);
+  wg::ApplyVersionMove(rollouts, MakeMove(1, Rollout::ROLLED_BACK, 0));
   // A copy of the order that reaches the leader late.
-  CHECK(wg::TakeVersionOrder(rollouts, MakeOrder("v2", 0)) ==
-        wg::VersionOrderTaken::Overtaken);
+  CHECK(wg::ApplyVersionOrder(rollouts, MakeOrder("v2", 0)) ==
+        wg::VersionOrderResult::Superseded);
   CHECK(wg::FindVersionRollout(rollouts, "svc").state == Rollout::ROLLED_BACK);
-  CHECK(wg::TakeVersionOrder(rollouts, MakeOrder("v2", 1)) ==
-        wg::VersionOrderTaken::Taken);
+  CHECK(wg::ApplyVersionOrder(rollouts, MakeOrder("v2", 1)) ==
+        wg::VersionOrderResult::Applied);
   CHECK(wg::FindVersionRollout(rollouts, "svc").number == 2);
 }
 
 TEST_CASE("An order without a service, version or duration is refused")
 {
   wg::VersionRollouts rollouts;
-  CHECK(wg::TakeVersionOrder(rollouts, MakeOrder("", 0)) ==
-        wg::VersionOrderTaken::Refused);
-  CHECK(wg::TakeVersionOrder(rollouts, MakeOrder("v2", 0, 0)) ==
-        wg::VersionOrderTaken::Refused);
-  CHECK(wg::TakeVersionOrder(rollouts, MakeOrder("v2", 0, -5)) ==
-        wg::VersionOrderTaken::Refused);
+  CHECK(wg::ApplyVersionOrder(rollouts, MakeOrder("", 0)) ==
+        wg::VersionOrderResult::Refused);
+  CHECK(wg::ApplyVersionOrder(rollouts, MakeOrder("v2", 0, 0)) ==
+        wg::VersionOrderResult::Refused);
+  CHECK(wg::ApplyVersionOrder(rollouts, MakeOrder("v2", 0, -5)) ==
+        wg::VersionOrderResult::Refused);
   wg::wire::OrderVersion order = MakeOrder("v2", 0);
   order.set_service("");
-  CHECK(wg::TakeVersionOrder(rollouts, order) ==
-        wg::VersionOrderTaken::Refused);
+  CHECK(wg::ApplyVersionOrder(rollouts, order) ==
+        wg::VersionOrderResult::Refused);
   CHECK(rollouts.newest == 0);
 }
 
 TEST_CASE("A late decision does not change an order that has ended")
 {
   wg::VersionRollouts rollouts;
-  wg::TakeVersionOrder(rollouts, MakeOrder("v2", 0));
-  wg::TakeVersionMove(rollouts, MakeMove(1, Rollout::ROLLED_BACK, 0));
-  wg::TakeVersionMove(rollouts, MakeMove(1, Rollout::COMPLETED, 1000));
+  wg::ApplyVersionOrder(rollouts, MakeOrder("v2", 0));
+  wg::ApplyVersionMove(rollouts, MakeMove(1, Rollout::ROLLED_BACK, 0));
+  wg::ApplyVersionMove(rollouts, MakeMove(1, Rollout::COMPLETED, 1000));
   CHECK(wg::FindVersionRollout(rollouts, "svc").state == Rollout::ROLLED_BACK);
-  wg::TakeVersionOrder(rollouts, MakeOrder("v3", 1));
-  wg::TakeVersionMove(rollouts, MakeMove(1, Rollout::COMPLETED, 1000));
+  wg::ApplyVersionOrder(rollouts, MakeOrder("v3", 1));
+  wg::ApplyVersionMove(rollouts, MakeMove(1, Rollout::COMPLETED, 1000));
   CHECK(wg::IsInProgress(wg::FindVersionRollout(rollouts, "svc")));
 }
 
@@ -256,13 +256,13 @@
 TEST_CASE("A new leader continues from the replicated time of the order")
 {
   wg::VersionRollouts rollouts;
-  wg::TakeVersionOrder(rollouts, MakeOrder("v2", 0));
+  wg::ApplyVersionOrder(rollouts, MakeOrder("v2", 0));
   wg::VersionConductor first;
   wg::VersionConductor second; // of a control box that started later
   for (int i = 0; i < 60; ++i) {
     for (const auto& move :
          wg::NextMoves(first, rollouts, absl::Milliseconds(100 * i))) {
-      wg::TakeVersionMove(rollouts, move);
+      wg::ApplyVersionMove(rollouts, move);
     }
   }
   const wg::Elapsed other = absl::Hours(3);
@@ -271,7 +271,7 @@
        ++i) {
     for (const auto& move : wg::NextMoves(
            second, rollouts, other + absl::Milliseconds(100 * i))) {
-      wg::TakeVersionMove(rollouts, move);
+      wg::ApplyVersionMove(rollouts, move);
     }
   }
   // Without evidence, it is rolled back within a second of the deadline.
--- a/Tests/Fuzz/wgFuzzTest.cxx
+++ b/Tests/Fuzz/wgFuzzTest.cxx
@@ -207,7 +207,7 @@
     auto store =
       wg::ReplicaStore::Open(wg::SystemFileOperations(), folder, 8, replica);
     REQUIRE(wg::Succeeded(store));
-    const bool sound = wg::Value(store)->State() == wg::FolderState::Sound;
+    const bool sound = wg::Value(store)->State() == wg::FolderState::Valid;
     CHECK((replica.self.id() == 8) == !sound);
   }
   std::filesystem::remove_all(folder);
@@ -238,7 +238,7 @@
       static_cast<wg::wire::AgreementMessage::Kind>(mutate.Next() % 7));
     if (message.ParseFromString(mutate(sound.SerializeAsString()))) {
       wg::OnMessage(replica, message, absl::Seconds(i), random);
-      wg::TakeActions(replica);
+      wg::ExtractActions(replica);
     }
     wg::wire::Change change;
     wg::ServiceState state;
--- a/Tests/Gateway/wgDirectoryTest.cxx
+++ b/Tests/Gateway/wgDirectoryTest.cxx
@@ -316,13 +316,13 @@
   CHECK(wg::ChooseEngine(engines, Prompt("p"), {}, query).endpoint ==
         first.endpoint);
   // What its engine holds need not be read.
-  CHECK(first.readSeconds == Approx(3000 * 16.5e-6));
+  CHECK(first.prefillSeconds == Approx(3000 * 16.5e-6));
   SECTION("unless it is busy for longer than it takes to read anew")
   {
     first.endpoint->pendingSeconds = 2.0;
     const auto second = wg::ChooseEngine(engines, Prompt("p"), {}, query);
     CHECK(second.endpoint != first.endpoint);
-    CHECK(second.readSeconds == Approx(15000 * 16.5e-6));
+    CHECK(second.prefillSeconds == Approx(15000 * 16.5e-6));
   }
   SECTION("or has been tried")
   {
@@ -445,19 +445,19 @@
   wg::DirectoryEndpoint& tired = *wg::FindEndpoint(directory, "e0");
   wg::DirectoryEndpoint& failing = *wg::FindEndpoint(directory, "e1");
   wg::SenderTerms asks;
-  asks.rest = absl::Seconds(3);
-  wg::TakeTerms(tired.terms, asks, Now, Now);
+  asks.backoff = absl::Seconds(3);
+  wg::ApplyTerms(tired.terms, asks, Now, Now);
   NoteAttempt(failing, true, Now);
   const auto sound = wg::SoundEndpoints(directory, "svc", Now);
   REQUIRE(sound.size() == 1);
   CHECK(sound.front()->id == "e1");
-  // The rest is this box's alone.
+  // The backoff is this box's alone.
   CHECK(wg::SoundEndpoints(directory, "svc", Now, wg::Sender::AnyBox).size() ==
         1);
   CHECK(wg::SoundEndpoints(directory, "svc", Now, wg::Sender::AnyBox)
           .front()
           ->id == "e0");
-  wg::TakeTerms(failing.terms, asks, Now, Now + absl::Seconds(1));
+  wg::ApplyTerms(failing.terms, asks, Now, Now + absl::Seconds(1));
   CHECK(wg::SoundEndpoints(directory, "svc", Now + absl::Seconds(1)).empty());
   CHECK(wg::TimeUntilAccepted(directory, "svc", Now + absl::Seconds(1)) ==
         absl::Seconds(2));
@@ -474,10 +474,10 @@
   wg::Directory directory = Serving(3);
   wg::DirectoryEndpoint& tired = *wg::FindEndpoint(directory, "e2");
   wg::SenderTerms asks;
-  asks.rest = absl::Seconds(3);
-  wg::TakeTerms(tired.terms, asks, Now, Now);
+  asks.backoff = absl::Seconds(3);
+  wg::ApplyTerms(tired.terms, asks, Now, Now);
   wg::NoteRefusal(tired, Now);
-  const wg::Elapsed rested = Now + asks.rest;
+  const wg::Elapsed rested = Now + asks.backoff;
   const auto sound = wg::SoundEndpoints(directory, "svc", rested);
   REQUIRE(sound.size() == 3);
   std::mt19937_64 random(7);
@@ -491,7 +491,7 @@
   }
   CHECK(got > requests / 3);
   // One that goes on refusing is avoided like one that fails.
-  wg::TakeTerms(tired.terms, asks, rested, rested);
+  wg::ApplyTerms(tired.terms, asks, rested, rested);
   wg::NoteRefusal(tired, rested);
   CHECK(wg::ShareNow(tired.failures, rested) > 0.0);
   CHECK(tired.avoidUntil > rested);
@@ -503,7 +503,7 @@
   wg::DirectoryEndpoint& leaving = *wg::FindEndpoint(directory, "e0");
   wg::SenderTerms says;
   says.isLeaving = true;
-  wg::TakeTerms(leaving.terms, says, Now, Now);
+  wg::ApplyTerms(leaving.terms, says, Now, Now);
   CHECK(wg::ServingEndpoints(directory, "svc").size() == 1);
   // A heartbeat that says it is ready may have been on its way.
   wg::MergeRegistration(directory, Told("e0", 2), Now);
--- a/Tests/Gateway/wgEnginePoolTest.cxx
+++ b/Tests/Gateway/wgEnginePoolTest.cxx
@@ -81,12 +81,12 @@
   Engines engines(6);
   wg::EnginePool pool;
   const auto first = wg::PlacePrompt(pool, engines.all, Ask(1, "p"));
-  CHECK(first.readSeconds == Approx(15000 * PerToken));
+  CHECK(first.prefillSeconds == Approx(15000 * PerToken));
   const wg::Elapsed later = Now + absl::Milliseconds(400);
   wg::EndRead(pool, { "box", 1 }, { 0.3, false }, later);
   const auto second = wg::PlacePrompt(pool, engines.all, Ask(2, "p", later));
   CHECK(second.endpoint == first.endpoint);
-  CHECK(second.readSeconds < 3500 * PerToken);
+  CHECK(second.prefillSeconds < 3500 * PerToken);
   SECTION("unless it is busy for longer than reading it anew is worth")
   {
     std::set<std::string> taken;
@@ -105,7 +105,7 @@
     const wg::Elapsed muchLater = later + wg::PartsHeldFor;
     const auto third =
       wg::PlacePrompt(pool, engines.all, Ask(3, "p", muchLater));
-    CHECK(third.readSeconds > 12000 * PerToken);
+    CHECK(third.prefillSeconds > 12000 * PerToken);
   }
 }
 
@@ -194,7 +194,7 @@
   wg::NoteHolder(pool, paths, "e2", Now - absl::Seconds(20));
   const auto placed = wg::PlacePrompt(pool, engines.all, query);
   CHECK(placed.endpoint->id == "e2");
-  CHECK(placed.readSeconds == 0.0);
+  CHECK(placed.prefillSeconds == 0.0);
 }
 
 TEST_CASE("What an engine failed is known when it is chosen from again")
@@ -231,7 +231,7 @@
     wg::ChooseEngine(engines.all, query.prompt, query.speed, query.choice);
   const auto guessed = wg::PlacePrompt(pool, engines.all, query);
   CHECK(guessed.endpoint == alone.endpoint);
-  CHECK(guessed.readSeconds == Approx(3000 * PerToken));
+  CHECK(guessed.prefillSeconds == Approx(3000 * PerToken));
   SECTION("but not where it is known to lie elsewhere")
   {
     const std::string other = alone.endpoint->id == "e0" ? "e1" : "e0";
@@ -302,7 +302,7 @@
       const auto choice = wg::ChooseEngine(own[box].all, query.prompt,
                                            query.speed, query.choice);
       engine = choice.endpoint;
-      estimate = choice.readSeconds;
+      estimate = choice.prefillSeconds;
       engine->pendingSeconds += estimate;
     }
     bool& held = holds[engine->id][query.prompt.parts[0].id];
--- a/Tests/Gateway/wgEngineSpeedReplayTest.cxx
+++ b/Tests/Gateway/wgEngineSpeedReplayTest.cxx
@@ -517,7 +517,7 @@
     query.choice.now = absl::Seconds(Start + at);
     query.choice.hall = "h";
     return wg::PlacePrompt(pool, absl::MakeSpan(all).subspan(engine, 1), query)
-      .readSeconds;
+      .prefillSeconds;
   }
   void Answer(double factor, double at)
   {
--- a/Tests/Gateway/wgSendPermitsTest.cxx
+++ b/Tests/Gateway/wgSendPermitsTest.cxx
@@ -57,7 +57,7 @@
   CHECK_FALSE(first.granted());
   CHECK(first.wait_ms() > 0);
   CHECK(static_cast<double>(first.wait_ms()) <=
-        1000.0 / (2.0 * wg::SettledShare));
+        1000.0 / (2.0 * wg::SettledFraction));
   CHECK(first.limit().is_limited());
   CHECK(first.limit().per_second() == 2.0);
   absl::SleepFor(absl::Milliseconds(first.wait_ms() + 5));
--- a/Tests/Gateway/wgStagePlanTest.cxx
+++ b/Tests/Gateway/wgStagePlanTest.cxx
@@ -12,7 +12,7 @@
 {
   wg::StagePlan plan;
   plan.stages = { { {}, 0.2 }, { {}, 0.1 }, { { 1 }, 0.3 }, { { 2 }, 0.25 } };
-  plan.readSeconds = 0.05;
+  plan.prefillSeconds = 0.05;
   return plan;
 }
 
@@ -52,9 +52,9 @@
 TEST_CASE("A first stage may wait for the rest of the latency target")
 {
   const absl::Duration target = absl::Seconds(2);
-  CHECK(wg::LongestFirstWait(target, absl::Milliseconds(100), 0.7) ==
+  CHECK(wg::MaxFirstWait(target, absl::Milliseconds(100), 0.7) ==
         absl::Milliseconds(700));
   // Never zero, which would mean no limit.
-  CHECK(wg::LongestFirstWait(target, absl::Seconds(2), 0.7) ==
+  CHECK(wg::MaxFirstWait(target, absl::Seconds(2), 0.7) ==
         absl::Milliseconds(1));
 }
--- a/Tests/Gateway/wgStagePoolTest.cxx
+++ b/Tests/Gateway/wgStagePoolTest.cxx
@@ -751,7 +751,7 @@
 {
   std::mt19937_64 random(6);
   const wg::StagePool pool = DrawPool(random, 600);
-  CHECK(wg::JudgeAccounts(pool, Now).exceeded.empty());
+  CHECK(wg::EvaluateAccounts(pool, Now).exceeded.empty());
   CHECK(Tickets(InOrder(pool)) == TicketsWithoutAccounts(pool));
 }
 
@@ -766,7 +766,7 @@
   report.load->slots = 1.0;
   report.load->pace = pace;
   wg::KnownLoad known;
-  wg::TakeLoad(known, report, server.id, when);
+  wg::ApplyLoadReport(known, report, server.id, when);
   return known;
 }
 
--- a/Tests/Membership/wgMembershipTest.cxx
+++ b/Tests/Membership/wgMembershipTest.cxx
@@ -35,12 +35,13 @@
 {
   wg::Membership membership = MakeMembership("1");
   wg::MergeGossip(membership, MakeGossip("2", 1, 1), absl::Seconds(1));
-  CHECK(wg::AliveMembers(membership, absl::Seconds(2)).size() == 1);
-  CHECK(wg::AliveMembers(membership, absl::Seconds(4)).empty());
+  CHECK(wg::ReachableMembers(membership, absl::Seconds(2)).size() == 1);
+  CHECK(wg::ReachableMembers(membership, absl::Seconds(4)).empty());
   wg::MergeGossip(membership, MakeGossip("2", 1, 1), absl::Seconds(4));
-  CHECK(wg::AliveMembers(membership, absl::Seconds(4)).empty()); // not newer
+  CHECK(
+    wg::ReachableMembers(membership, absl::Seconds(4)).empty()); // not newer
   wg::MergeGossip(membership, MakeGossip("2", 1, 2), absl::Seconds(4));
-  CHECK(wg::AliveMembers(membership, absl::Seconds(5)).size() == 1);
+  CHECK(wg::ReachableMembers(membership, absl::Seconds(5)).size() == 1);
 }
 
 TEST_CASE("a state of an earlier incarnation is ignored")
@@ -49,7 +50,7 @@
   wg::MergeGossip(membership, MakeGossip("2", 5, 1), absl::Seconds(1));
   wg::MergeGossip(membership, MakeGossip("2", 4, 900), absl::Seconds(3));
   CHECK(membership.others["2"].member.incarnation() == 5);
-  CHECK(wg::AliveMembers(membership, absl::Seconds(3)).empty());
+  CHECK(wg::ReachableMembers(membership, absl::Seconds(3)).empty());
 }
 
 TEST_CASE("a leaving box is not among the reachable members")
@@ -58,7 +59,7 @@
   wg::wire::Gossip gossip = MakeGossip("2", 1, 1);
   gossip.mutable_members(0)->set_leaving(true);
   wg::MergeGossip(membership, gossip, absl::Seconds(1));
-  CHECK(wg::AliveMembers(membership, absl::Seconds(1)).empty());
+  CHECK(wg::ReachableMembers(membership, absl::Seconds(1)).empty());
 }
 
 TEST_CASE("the number of messages per period is the same for any cluster size")
@@ -122,15 +123,15 @@
     round(now += absl::Milliseconds(250), false);
   }
   for (const auto& box : boxes) {
-    CHECK(wg::AliveMembers(box, now).size() == 8);
+    CHECK(wg::ReachableMembers(box, now).size() == 8);
   }
   for (int i = 0; i < 20; ++i) {
     round(now += absl::Milliseconds(250), true);
   }
-  CHECK(wg::AliveMembers(boxes[0], now).size() == 2);
-  CHECK(wg::AliveMembers(boxes[8], now).size() == 5);
+  CHECK(wg::ReachableMembers(boxes[0], now).size() == 2);
+  CHECK(wg::ReachableMembers(boxes[8], now).size() == 5);
   for (int i = 0; i < 12; ++i) {
     round(now += absl::Milliseconds(250), false);
   }
-  CHECK(wg::AliveMembers(boxes[8], now).size() == 8);
+  CHECK(wg::ReachableMembers(boxes[8], now).size() == 8);
 }
--- a/Tests/Platform/wgPlatformTest.cxx
+++ b/Tests/Platform/wgPlatformTest.cxx
@@ -282,24 +282,26 @@
   CHECK(read(200, { { "Server-Limit", "x" }, { "Server-Limit", "3" } })
           .perSecond == 3.0);
 
-  CHECK(read(200, {}).endsLimit);
-  CHECK_FALSE(read(503, {}).endsLimit);
-  CHECK_FALSE(read(500, {}).endsLimit);
-  CHECK_FALSE(read(200, { { "Server-Limit", "x" } }).endsLimit);
+  CHECK(read(200, {}).clearsLimit);
+  CHECK_FALSE(read(503, {}).clearsLimit);
+  CHECK_FALSE(read(500, {}).clearsLimit);
+  CHECK_FALSE(read(200, { { "Server-Limit", "x" } }).clearsLimit);
 
   CHECK(read(200, { { "Server-Leaving", "1" } }).isLeaving);
   CHECK_FALSE(read(200, { { "Server-Leaving", "0" } }).isLeaving);
   CHECK(read(200, { { "Server-Leaving", "yes" } }).unreadable == 1);
 
   using Rest = absl::Duration;
-  CHECK(read(503, { { "Retry-After", "2.5" } }).rest == absl::Seconds(2.5));
-  CHECK(read(503, { { "Retry-After", "1" }, { "Retry-After", "4" } }).rest ==
-        absl::Seconds(4));
-  CHECK(read(200, { { "Retry-After", "2" } }).rest == Rest());
-  CHECK(read(429, { { "Retry-After", "2" } }).rest == Rest());
-  CHECK(read(503, { { "Retry-After", "-2" } }).rest == Rest());
+  CHECK(read(503, { { "Retry-After", "2.5" } }).backoff == absl::Seconds(2.5));
+  CHECK(
+    read(503, { { "Retry-After", "1" }, { "Retry-After", "4" } }).backoff ==
+    absl::Seconds(4));
+  CHECK(read(200, { { "Retry-After", "2" } }).backoff == Rest());
+  CHECK(read(429, { { "Retry-After", "2" } }).backoff == Rest());
+  CHECK(read(503, { { "Retry-After", "-2" } }).backoff == Rest());
   CHECK(read(503, { { "Retry-After", "-2" } }).unreadable == 1);
-  CHECK(read(503, { { "Retry-After", "9999999999" } }).rest == absl::Hours(1));
+  CHECK(read(503, { { "Retry-After", "9999999999" } }).backoff ==
+        absl::Hours(1));
 }
 
 // Guards against numbers that a reader of less strictness accepts, and that
--- a/Tests/Policy/wgPolicySimulation.cxx
+++ b/Tests/Policy/wgPolicySimulation.cxx
@@ -9,8 +9,8 @@
 
 #include "absl/random/distributions.h"
 
-#include "wgOutlook.h"
 #include "wgShares.h"
+#include "wgStageEstimate.h"
 
 namespace wg::test {
 namespace {
@@ -301,15 +301,15 @@
     return run_.fair ? AccountName(request.account) : std::string("all");
   }
 
-  std::vector<StageOutlook> EstimateStages(const Request& request,
-                                           std::size_t from)
+  std::vector<StageEstimate> EstimateStages(const Request& request,
+                                            std::size_t from)
   {
-    std::vector<StageOutlook> estimates;
+    std::vector<StageEstimate> estimates;
     const auto& stages = Stages(request);
     for (std::size_t i = from; i < stages.size(); ++i) {
-      estimates.push_back(OutlookFor(entries_[Index(request.entry)][stages[i]],
-                                     Account(request),
-                                     run_.fair ? Weight(request) : 1.0));
+      estimates.push_back(
+        EstimateStage(entries_[Index(request.entry)][stages[i]],
+                      Account(request), run_.fair ? Weight(request) : 1.0));
     }
     return estimates;
   }
@@ -395,7 +395,7 @@
       run_.admission ? absl::Seconds(request.deadline - ServiceSeconds(ahead))
                      : absl::Seconds(request.deadline);
     waiting.expectedCost = ahead.front().serviceSeconds;
-    waiting.laterSeconds =
+    waiting.laterStagesSeconds =
       run_.admission
         ? ServiceSeconds(ahead) - waiting.expectedCost
         : -run_.seconds; // the baselines drop no request before its deadline
@@ -417,7 +417,7 @@
   void DispatchOne(int entry, std::size_t g)
   {
     DispatchRound round = Dispatch(entries_[Index(entry)][g], Time(), random_);
-    for (WaitingStage& stage : round.hopeless) {
+    for (WaitingStage& stage : round.infeasible) {
       EndRequest(requests_[Index(waiting_[stage.ticket])], false);
       ++failed_;
     }
@@ -567,7 +567,7 @@
   {
     Request& request = requests_[Index(id)];
     if (end == AttemptEnd::Answered) {
-      JudgeAnswer(request.attempts, attempt.id);
+      ClassifyAnswer(request.attempts, attempt.id);
       request.attemptsAtStage = 0;
       if (++request.stage == Stages(request).size()) {
         EndRequest(request, true);
@@ -647,7 +647,7 @@
       const int waiting = static_cast<int>(engine.waiting.size());
       for (int e = 0; e < Entries; ++e) {
         if (engine.down || IsPartitioned(e, engine)) {
-          NoteWatch(entries_[Index(e)][g].endpoints[index], false);
+          NoteLoadPoll(entries_[Index(e)][g].endpoints[index], false);
           continue;
         }
         const int own = entries_[Index(e)][g].endpoints[index].running;
@@ -656,7 +656,7 @@
                                                 waiting, own, reportedAt] {
           LoadReport& report = entries_[Index(e)][g].endpoints[index].report;
           report = { running, waiting, own, absl::Seconds(reportedAt) };
-          NoteWatch(entries_[Index(e)][g].endpoints[index], true);
+          NoteLoadPoll(entries_[Index(e)][g].endpoints[index], true);
         });
       }
     }
--- a/Tests/Storage/wgStorageTest.cxx
+++ b/Tests/Storage/wgStorageTest.cxx
@@ -92,7 +92,7 @@
 {
   TemporaryFolder folder;
   WriteEntries(folder.path, 20);
-  const wg::Replica replica = Reopen(folder.path, wg::FolderState::Sound);
+  const wg::Replica replica = Reopen(folder.path, wg::FolderState::Valid);
   CHECK(replica.self.id() == 11);
   CHECK(replica.log.LastIndex() == 20);
   CHECK(replica.hard.term() == 7);
@@ -106,10 +106,10 @@
   WriteEntries(folder.path, 5);
   std::ofstream(folder.path + "/log", std::ios::app | std::ios::binary)
     << "WgR1\x02half of a record";
-  const wg::Replica replica = Reopen(folder.path, wg::FolderState::Sound);
+  const wg::Replica replica = Reopen(folder.path, wg::FolderState::Valid);
   CHECK(replica.log.LastIndex() == 5);
   WriteEntries(folder.path, 1);
-  CHECK(Reopen(folder.path, wg::FolderState::Sound).log.LastIndex() == 6);
+  CHECK(Reopen(folder.path, wg::FolderState::Valid).log.LastIndex() == 6);
 }
 
 TEST_CASE("a damaged record amid the log gives a new identity")
@@ -166,7 +166,7 @@
     wg::Compact(replica, "state", 5);
     REQUIRE(wg::Succeeded(wg::Value(store)->SaveSnapshot(replica)));
   }
-  const wg::Replica replica = Reopen(folder.path, wg::FolderState::Sound);
+  const wg::Replica replica = Reopen(folder.path, wg::FolderState::Valid);
   CHECK(replica.snapshot.index() == 25);
   CHECK(replica.log.FirstIndex() == 21);
   CHECK(replica.log.LastIndex() == 30);
@@ -218,7 +218,7 @@
   REQUIRE_CALL(files, Write(_, _)).RETURN(::write(_1, _2.data(), _2.size()));
   CHECK(wg::Succeeded(wg::Value(store)->Write(replica, actions)));
   wg::Value(store).reset();
-  CHECK(Reopen(folder.path, wg::FolderState::Sound).log.LastIndex() == 5);
+  CHECK(Reopen(folder.path, wg::FolderState::Valid).log.LastIndex() == 5);
 }
 
 TEST_CASE("writes fail after a failed sync")
@@ -256,11 +256,11 @@
     damaged[at] = static_cast<char>(damaged[at] ^ 0x21);
     const auto read = wg::ReadRecords(damaged);
     const bool detected =
-      !wg::Succeeded(read) || wg::Value(read).soundBytes < bytes.size();
+      !wg::Succeeded(read) || wg::Value(read).validBytes < bytes.size();
     CHECK(detected);
     const auto truncated =
       wg::ReadRecords(absl::string_view(bytes).substr(0, at));
     REQUIRE(wg::Succeeded(truncated));
-    CHECK(wg::Value(truncated).soundBytes <= at);
+    CHECK(wg::Value(truncated).validBytes <= at);
   }
 }
--- a/Utilities/Daemon/wgSettings.cxx
+++ b/Utilities/Daemon/wgSettings.cxx
@@ -561,9 +561,9 @@
   const long losses = losses_.getValue();
   control.wantedVoters =
     static_cast<std::size_t>(losses < 0 ? voters_.getValue() : 2 * losses + 1);
-  control.spareAfter = spare_.getValue() == 0
-                         ? absl::InfiniteDuration()
-                         : absl::Seconds(spare_.getValue());
+  control.standbyAfter = spare_.getValue() == 0
+                           ? absl::InfiniteDuration()
+                           : absl::Seconds(spare_.getValue());
   control.compactAfter = static_cast<std::uint64_t>(compact_.getValue());
   control.changeLevel = static_cast<ChangeLevel>(changeLevel_.getValue());
   control.foundAtStart = found_.getValue() == "true";
