--- a/Source/Decision/wgAdmission.h
+++ b/Source/Decision/wgAdmission.h
@@ -16,7 +16,7 @@
 {
   double serviceSeconds = 0.0; // expected service time of one stage
   double spreadSeconds = 0.0;  // mean absolute deviation of the service time
-  /** Stages of its account that run or wait here or are upcoming. */
+  /** Stages of its account that run, wait or are upcoming, over all boxes. */
   double ahead = 0.0;
   double slots = 1.0; // slots that its account may use
   bool anyEndpoint = true;
--- a/Source/Decision/wgStageEstimate.cxx
+++ b/Source/Decision/wgStageEstimate.cxx
@@ -13,8 +13,8 @@
 
 /** Estimates the stages ahead at the other boxes now. Since their last report,
  * that number is assumed to have fallen by the same ratio as at this box.
- * Growth is not assumed: during bursts this refused more requests than it
- * avoided late answers.
+ * Growth is not assumed: during bursts, doing so refused more requests than it
+ * prevented late answers.
  */
 double AheadElsewhereNow(const AccountQuota& quota, double aheadHereNow)
 {
