--- a/Tests/Decision/wgRolloutFleet.cxx
+++ b/Tests/Decision/wgRolloutFleet.cxx
@@ -135,7 +135,7 @@
     }
   }
 
-  /** Updates a batch at once and isOutdated until all of it is ready. */
+  /** Updates a batch at once and waits until all of it is ready. */
   void DecideBatch()
   {
     const bool allReady = std::all_of(
