--- a/Source/Gateway/wgGatewayMember.h
+++ b/Source/Gateway/wgGatewayMember.h
@@ -27,8 +27,8 @@
 
 /** \brief The box that makes the calls of a pool: of those that are not
  * suspected the first in rendezvous order weighted by the boxes' shares of a
- * core (ChooseByShare), in the pool's hall where there are any. The box that
- * asks is among the candidates; boxes of silent halls are not.
+ * core (ChooseByCpuShare), in the pool's hall where there are any. The box
+ * that asks is among the candidates; boxes of silent halls are not.
  */
 const GatewayMember& ChooseCoordinator(
   const GatewayMember& self, absl::Span<const GatewayMember> others,
